--- a/src/gateway/Sendings.ts
+++ b/src/gateway/ActiveRequests.ts
@@ -3,25 +3,25 @@
 import type { Clock } from '../timing/index.js';
 import type { CallerExchange } from './CallerExchange.js';
 import type { TargetAgents } from './TargetAgents.js';
-import { TargetSending } from './TargetSending.js';
+import { TargetRequest } from './TargetRequest.js';
 
-type SendEffect = Extract<BalancerEffect, { kind: 'sendAttempt' }>;
+type SendAttemptEffect = Extract<BalancerEffect, { kind: 'sendAttempt' }>;
 
-/** Requests that callers wait for, and what is out at targets for them. */
-export class Sendings {
+/** Callers' requests that have not been answered yet, and the attempts at targets made for them. */
+export class ActiveRequests {
   /** @internal */
   private readonly exchanges = new Map<RequestId, CallerExchange>();
 
   /** @internal */
-  private readonly sendings = new Map<AttemptId, TargetSending>();
+  private readonly attempts = new Map<AttemptId, TargetRequest>();
 
   /** @internal */
-  private lastRequest = 0;
+  private lastRequestId = 0;
 
   /**
-   * @param agents - Connections to targets.
-   * @param clock - Time to go by.
-   * @param dispatch - Told how each sending ended.
+   * @param agents - Connection pools of the targets.
+   * @param clock - Clock for the time of load readings.
+   * @param dispatch - Receives an event when an attempt ends.
    */
   constructor(
     private readonly agents: TargetAgents,
@@ -29,42 +29,42 @@
     private readonly dispatch: (event: BalancerEvent) => void,
   ) {}
 
-  /** Requests that have no answer yet. */
+  /** Number of requests that have not been answered yet. */
   get size(): number {
     return this.exchanges.size;
   }
 
   /**
-   * Takes a request in.
+   * Adds a request.
    * @param exchange - The request.
-   * @returns Its number in this process.
+   * @returns The id of the request within this process.
    */
-  open(exchange: CallerExchange): RequestId {
-    this.lastRequest += 1;
-    this.exchanges.set(this.lastRequest, exchange);
-    return this.lastRequest;
+  add(exchange: CallerExchange): RequestId {
+    this.lastRequestId += 1;
+    this.exchanges.set(this.lastRequestId, exchange);
+    return this.lastRequestId;
   }
 
   /**
-   * Id that the caller gave a request.
-   * @param request - Its number in this process.
+   * Returns the request id set by the caller, if any.
+   * @param request - The id of the request within this process.
    */
   getCallerRequestId(request: RequestId): string | undefined {
     return this.exchanges.get(request)?.callerRequestId;
   }
 
-  /** The caller left, or its connection ended. */
-  close(request: RequestId): void {
+  /** Removes a request whose caller disconnected. */
+  remove(request: RequestId): void {
     this.exchanges.delete(request);
   }
 
-  /** Sends a request to a target. */
-  send({ request, attempt, to, allowedMs }: SendEffect): void {
+  /** Sends a request to a target. Does nothing if the request is no longer open. */
+  startAttempt({ request, attempt, to, allowedMs }: SendAttemptEffect): void {
     const exchange = this.exchanges.get(request);
     if (exchange === undefined) return;
     const { req, headers, body, callerRequestId } = exchange;
-    const sending = new TargetSending({
-      agent: this.agents.get(to),
+    const targetRequest = new TargetRequest({
+      agent: this.agents.getAgent(to),
       clock: this.clock,
       to,
       method: req.method ?? 'GET',
@@ -75,27 +75,27 @@
       allowedMs,
       onEnd: (end) => {
         this.dispatch({ kind: 'attemptEnded', attempt, end });
-        this.sendings.delete(attempt);
+        this.attempts.delete(attempt);
       },
     });
-    this.sendings.set(attempt, sending);
+    this.attempts.set(attempt, targetRequest);
   }
 
-  /** Breaks a sending off. */
-  cancel(attempt: AttemptId): void {
-    this.sendings.get(attempt)?.cancel();
-    this.sendings.delete(attempt);
+  /** Cancels an attempt. */
+  cancelAttempt(attempt: AttemptId): void {
+    this.attempts.get(attempt)?.cancel();
+    this.attempts.delete(attempt);
   }
 
-  /** Gives a caller a target's answer. */
+  /** Forwards the answer that an attempt received to the caller. */
   deliver(request: RequestId, attempt: AttemptId): void {
     const exchange = this.exchanges.get(request);
-    const answer = this.sendings.get(attempt)?.answer;
+    const answer = this.attempts.get(attempt)?.answer;
     if (exchange !== undefined && answer !== undefined) exchange.deliver(answer);
     this.exchanges.delete(request);
   }
 
-  /** Answers a caller in this entry VM's own name. */
+  /** Answers a request with an error of this entry VM's own. */
   answer(request: RequestId, status: number, reason: string, retryAfterMs?: number): void {
     this.exchanges.get(request)?.answer(status, reason, retryAfterMs);
     this.exchanges.delete(request);
--- a/src/gateway/BalancerLoop.ts
+++ b/src/gateway/BalancerLoop.ts
@@ -6,36 +6,39 @@
 } from '../balancing/index.js';
 import { reduceBalancer } from '../balancing/index.js';
 
-/** Carries out one effect. */
+/** Performs one effect of the reducer. */
 export type EffectRunner = (effect: BalancerEffect) => void;
 
-/** Takes events one at a time, and carries out what the reducer says before the next one. */
+/**
+ * Event loop around the balancer's reducer: passes events to it one at a time and performs all
+ * effects of one event before the next event is handled.
+ */
 export class BalancerLoop {
   /** @internal */
-  private readonly events: BalancerEvent[] = [];
+  private readonly queue: BalancerEvent[] = [];
 
   /** @internal */
   private isRunning = false;
 
   /**
-   * @param state - What this entry VM knows.
-   * @param context - Time and chance.
-   * @param run - Carries out one effect.
+   * @param state - The balancer's state, which the reducer updates in place.
+   * @param context - Current time and random numbers.
+   * @param runEffect - Performs one effect.
    */
   constructor(
     private readonly state: BalancerState,
     private readonly context: BalancerContext,
-    private readonly run: EffectRunner,
+    private readonly runEffect: EffectRunner,
   ) {}
 
-  /** Takes an event; one that comes while another is handled waits for its turn. */
+  /** Handles an event. An event dispatched while another is being handled is queued behind it. */
   readonly dispatch = (event: BalancerEvent): void => {
-    this.events.push(event);
+    this.queue.push(event);
     if (this.isRunning) return;
     this.isRunning = true;
     try {
-      for (let next = this.events.shift(); next !== undefined; next = this.events.shift()) {
-        for (const effect of reduceBalancer(this.state, next, this.context)) this.run(effect);
+      for (let next = this.queue.shift(); next !== undefined; next = this.queue.shift()) {
+        for (const effect of reduceBalancer(this.state, next, this.context)) this.runEffect(effect);
       }
     } finally {
       this.isRunning = false;
--- a/src/gateway/CallerExchange.ts
+++ b/src/gateway/CallerExchange.ts
@@ -1,25 +1,25 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import { linger } from '../entry/exchange/linger.js';
-import type { TargetAnswer } from './TargetSending.js';
+import type { TargetAnswer } from './TargetRequest.js';
 
 const MS_PER_SECOND = 1_000;
 
-function withoutLength(headers: readonly string[]): string[] {
+function removeContentLength(headers: readonly string[]): string[] {
   return headers.filter((_, i) => headers[i - (i % 2)].toLowerCase() !== 'content-length');
 }
 
-/** A caller's request and the way back to it. */
+/** A caller's request and the HTTP response that answers it. */
 export class CallerExchange {
   /** @internal */
-  private isAnswered = false;
+  private hasStartedAnswer = false;
 
   /**
    * @param req - The request.
-   * @param res - Its answer.
-   * @param headers - Headers to pass on, names and values in turn.
-   * @param body - Undefined if the request has none.
-   * @param callerRequestId - Id that the caller chose.
+   * @param res - The response.
+   * @param headers - Headers to forward, as alternating names and values.
+   * @param body - The request's body; undefined if it has none.
+   * @param callerRequestId - Request id set by the caller, if any.
    */
   constructor(
     readonly req: IncomingMessage,
@@ -30,34 +30,35 @@
   ) {}
 
   /**
-   * Gives the caller a target's answer as it is.
-   * @param answer - The answer.
+   * Forwards a target's answer to the caller unchanged.
+   * @param answer - The target's answer.
    */
-  deliver({ status, headers, body, rest }: TargetAnswer): void {
-    this.isAnswered = true;
+  deliver({ status, headers, body, remainder }: TargetAnswer): void {
+    this.hasStartedAnswer = true;
     const isHead = this.req.method === 'HEAD';
-    const length = rest === undefined && !isHead ? ['Content-Length', String(body.length)] : [];
-    const kept = length.length === 0 ? [...headers] : withoutLength(headers);
-    this.res.writeHead(status, [...kept, ...length]);
-    if (rest === undefined) {
+    const lengthHeader =
+      remainder === undefined && !isHead ? ['Content-Length', String(body.length)] : [];
+    const keptHeaders = lengthHeader.length === 0 ? [...headers] : removeContentLength(headers);
+    this.res.writeHead(status, [...keptHeaders, ...lengthHeader]);
+    if (remainder === undefined) {
       this.res.end(body);
       return;
     }
     this.res.write(body);
-    rest.on('aborted', () => this.res.destroy());
-    rest.on('error', () => this.res.destroy());
-    rest.pipe(this.res);
+    remainder.on('aborted', () => this.res.destroy());
+    remainder.on('error', () => this.res.destroy());
+    remainder.pipe(this.res);
   }
 
   /**
-   * Answers in this entry VM's own name.
-   * @param status - Of the answer.
-   * @param reason - Why, for a person who reads it.
-   * @param retryAfterMs - When the caller may come back.
+   * Answers with an error of this entry VM's own.
+   * @param status - HTTP status.
+   * @param reason - Reason, sent in the body as `error`.
+   * @param retryAfterMs - Time after which the caller may retry, sent as `Retry-After` in seconds.
    */
   answer(status: number, reason: string, retryAfterMs?: number): void {
     if (this.res.headersSent) return;
-    this.isAnswered = true;
+    this.hasStartedAnswer = true;
     const body = Buffer.from(JSON.stringify({ error: reason }));
     const headers: Record<string, string | number> = {
       'Content-Type': 'application/json',
@@ -69,8 +70,8 @@
     linger(this.req, this.res);
   }
 
-  /** Whether the caller has been answered, in part at least. */
-  get isOver(): boolean {
-    return this.isAnswered;
+  /** Whether an answer has been sent to the caller, at least in part. */
+  get isAnswered(): boolean {
+    return this.hasStartedAnswer;
   }
 }
--- a/src/gateway/CallerDoor.ts
+++ b/src/gateway/CallerRequestHandler.ts
@@ -5,21 +5,21 @@
 import { RequestBody } from '../entry/exchange/RequestBody.js';
 import { readCallerHead } from '../platform/index.js';
 import type { Clock } from '../timing/index.js';
+import type { ActiveRequests } from './ActiveRequests.js';
 import { CallerExchange } from './CallerExchange.js';
-import type { Sendings } from './Sendings.js';
 
-/** What the door works with. */
-export interface CallerDoorParts {
+/** Dependencies of `CallerRequestHandler`. */
+export interface CallerRequestHandlerParts {
   readonly clock: Clock;
-  readonly sendings: Sendings;
+  readonly activeRequests: ActiveRequests;
   readonly dispatch: (event: BalancerEvent) => void;
-  getLimits(): CallerLimits | undefined;
+  getCallerLimits(): CallerLimits | undefined;
 }
 
-/** Largest body that is taken before a configuration is known, in bytes. */
-const BODY_BYTES = 1024 * 1024;
+/** Largest request body accepted while no configuration is known yet, in bytes. */
+const DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
 
-const TOO_LARGE = 413;
+const PAYLOAD_TOO_LARGE = 413;
 const BAD_REQUEST = 400;
 
 function hasBody(req: IncomingMessage): boolean {
@@ -27,37 +27,43 @@
   return req.headers['content-length'] !== undefined;
 }
 
-/** Takes callers' requests in: reads each as a whole and hands it to the decisions. */
-export class CallerDoor {
-  /** @param parts - What the door works with. */
-  constructor(private readonly parts: CallerDoorParts) {}
+/** Buffers callers' requests with their bodies, then dispatches them to the balancer. */
+export class CallerRequestHandler {
+  /** @param parts - Clock, open requests, dispatch and limits. */
+  constructor(private readonly parts: CallerRequestHandlerParts) {}
 
   /**
-   * Takes one request.
+   * Handles one request.
    * @param req - The request.
-   * @param res - Its answer.
-   * @param awaitsContinue - Whether its body comes only when it is told to.
-   * @param heldMs - How long ago it was read, in milliseconds.
+   * @param res - Its response.
+   * @param isAwaitingContinue - Whether the caller waits for `100 Continue` to send the body.
+   * @param queuedMs - Time since the request's head was read, in milliseconds; it counts towards
+   * the time that the caller allows.
    */
-  accept(req: IncomingMessage, res: ServerResponse, awaitsContinue: boolean, heldMs: number): void {
-    const arrivedAt = this.parts.clock.now() - heldMs;
-    if (awaitsContinue) res.writeContinue();
-    const bodyBytes = this.parts.getLimits()?.bodyBytes ?? BODY_BYTES;
+  handle(
+    req: IncomingMessage,
+    res: ServerResponse,
+    isAwaitingContinue: boolean,
+    queuedMs: number,
+  ): void {
+    const arrivedAt = this.parts.clock.now() - queuedMs;
+    if (isAwaitingContinue) res.writeContinue();
+    const bodyBytes = this.parts.getCallerLimits()?.bodyBytes ?? DEFAULT_MAX_BODY_BYTES;
     const body = new RequestBody(hasBody(req) ? req : undefined, {
       bodyBytes,
       replayBytes: bodyBytes,
     });
     body.collect(true, (outcome) => {
-      const whole = hasBody(req) ? body.getWhole() : undefined;
-      const exchange = this.open(req, res, whole);
-      if (outcome === 'tooLarge') exchange.answer(TOO_LARGE, 'body too large');
+      const wholeBody = hasBody(req) ? body.getWhole() : undefined;
+      const exchange = this.createExchange(req, res, wholeBody);
+      if (outcome === 'tooLarge') exchange.answer(PAYLOAD_TOO_LARGE, 'body too large');
       else if (!(req.url ?? '').startsWith('/')) exchange.answer(BAD_REQUEST, 'no path');
-      else this.announce(req, res, exchange, arrivedAt);
+      else this.dispatchArrival(req, res, exchange, arrivedAt);
     });
   }
 
   /** @internal */
-  private open(
+  private createExchange(
     req: IncomingMessage,
     res: ServerResponse,
     body: Buffer | undefined,
@@ -70,17 +76,17 @@
   }
 
   /** @internal */
-  private announce(
+  private dispatchArrival(
     req: IncomingMessage,
     res: ServerResponse,
     exchange: CallerExchange,
     arrivedAt: number,
   ): void {
-    const { sendings, dispatch } = this.parts;
-    const request = sendings.open(exchange);
+    const { activeRequests, dispatch } = this.parts;
+    const request = activeRequests.add(exchange);
     res.once('close', () => {
-      if (exchange.isOver) return;
-      sendings.close(request);
+      if (exchange.isAnswered) return;
+      activeRequests.remove(request);
       dispatch({ kind: 'callerLeft', request });
     });
     const { allowedMs } = readCallerHead(req.headers);
--- a/src/gateway/GatewayPages.ts
+++ b/src/gateway/GatewayEndpoints.ts
@@ -4,59 +4,62 @@
 import type { EventLog } from '../logging/EventLog.js';
 import { ADDRESSES_PATH, READY_PATH } from '../platform/index.js';
 import type { GatewayMetrics } from './GatewayMetrics.js';
-import type { Page } from './Pages.js';
-import { servePages } from './Pages.js';
+import type { EndpointHandler } from './serveEndpoints.js';
+import { serveEndpoints } from './serveEndpoints.js';
 
 const OK = 200;
 const UNAVAILABLE = 503;
 
-/** What the pages show. */
-export interface GatewayPagesParts {
+/** Dependencies of `GatewayEndpoints`. */
+export interface GatewayEndpointsParts {
   readonly listen: GatewaySettings['listen'];
   readonly metrics: GatewayMetrics;
   readonly log: EventLog;
-  /** Whether this VM takes callers. */
+  /** Whether this VM accepts callers. */
   isReady(): boolean;
-  /** Addresses for callers, as they are told. */
+  /** Writes the JSON answer with the entry VM addresses for callers. */
   writeAddresses(): string;
 }
 
-/** The pages beside callers' requests: readiness, the addresses to use, and metrics. */
-export class GatewayPages {
+/** HTTP endpoints besides callers' traffic: readiness, entry VM addresses and metrics. */
+export class GatewayEndpoints {
   /** @internal */
   private readonly servers: Server[] = [];
 
-  /** @param parts - What the pages show. */
-  constructor(private readonly parts: GatewayPagesParts) {}
+  /** @param parts - Listen addresses and the sources of what the endpoints return. */
+  constructor(private readonly parts: GatewayEndpointsParts) {}
 
-  /** Begins to listen; resolves once all pages can be asked for. */
+  /**
+   * Starts all servers; resolves once every endpoint is reachable.
+   * @throws StartError if an address cannot be listened on.
+   */
   async listen(): Promise<void> {
     const { listen } = this.parts;
     this.servers.push(
-      await servePages(listen.readiness, { [READY_PATH]: this.showReadiness }),
-      await servePages(listen.addresses, { [ADDRESSES_PATH]: this.showAddresses }),
-      await servePages(listen.metrics, { '/metrics': this.showMetrics }),
+      await serveEndpoints(listen.readiness, { [READY_PATH]: this.serveReadiness }),
+      await serveEndpoints(listen.addresses, { [ADDRESSES_PATH]: this.serveAddresses }),
+      await serveEndpoints(listen.metrics, { '/metrics': this.serveMetrics }),
     );
   }
 
-  /** Ends all servers. */
+  /** Stops all servers. */
   close(): void {
     for (const server of this.servers) server.close();
   }
 
   /** @internal */
-  private readonly showReadiness: Page = (_req, res) => {
+  private readonly serveReadiness: EndpointHandler = (_req, res) => {
     res.writeHead(this.parts.isReady() ? OK : UNAVAILABLE).end();
   };
 
   /** @internal */
-  private readonly showAddresses: Page = (_req, res) => {
+  private readonly serveAddresses: EndpointHandler = (_req, res) => {
     res.writeHead(OK, { 'Content-Type': 'application/json' });
     res.end(this.parts.writeAddresses());
   };
 
   /** @internal */
-  private readonly showMetrics: Page = (_req, res) => {
+  private readonly serveMetrics: EndpointHandler = (_req, res) => {
     const { metrics, log } = this.parts;
     metrics
       .read()
--- a/src/gateway/GatewayMetrics.ts
+++ b/src/gateway/GatewayMetrics.ts
@@ -3,15 +3,17 @@
 import type { LearntCurve, LogEffect, RolloutFigures, TargetStanding } from '../balancing/index.js';
 import { TARGET_STANDINGS } from '../balancing/index.js';
 
-/** Observations kept until the library is loaded; later ones push out the oldest. */
-const MOST_EARLY = 2_000;
+/** Observations buffered until prom-client is loaded; beyond that the oldest are discarded. */
+const MAX_EARLY_OBSERVATIONS = 2_000;
 
-/** Bounds of the latency histogram, in seconds: from a fast answer to the longest time allowed. */
-const BUCKETS_S = [0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10];
+/**
+ * Bucket bounds of the latency histogram, in seconds: from a fast answer up to the longest timeout.
+ */
+const LATENCY_BUCKETS_S = [0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10];
 
 const MS_PER_SECOND = 1_000;
 
-interface Loaded {
+interface PrometheusMetrics {
   readonly registry: Registry;
   readonly events: Counter;
   readonly answers: Histogram;
@@ -32,22 +34,24 @@
   readonly route: string;
 }
 
-/** What other parts count themselves. */
+/** Values that other components count themselves; read on each scrape. */
 export interface MetricSources {
-  getStoreCalls(): ReadonlyMap<string, number>;
-  getProbes(): number;
-  /** Targets of each service by how they stand. */
-  getTargets(): ReadonlyMap<string, Readonly<Record<TargetStanding, number>>>;
-  /** What is learnt of each service's targets. */
-  getCurves(): ReadonlyMap<string, LearntCurve>;
-  /** Rollouts that this VM knows of, by service. */
-  getRollouts(): ReadonlyMap<string, RolloutFigures>;
-  /** Time since the store's word was last confirmed, in milliseconds. */
+  /** Store calls so far, by `METHOD section`. */
+  getStoreCallCounts(): ReadonlyMap<string, number>;
+  /** Probes sent so far. */
+  getProbeCount(): number;
+  /** Number of targets in each standing, by service. */
+  getTargetCounts(): ReadonlyMap<string, Readonly<Record<TargetStanding, number>>>;
+  /** Learnt slowdown curve of the targets, by service. */
+  getLearntCurves(): ReadonlyMap<string, LearntCurve>;
+  /** State of the rollouts known to this VM, by service. */
+  getRolloutFigures(): ReadonlyMap<string, RolloutFigures>;
+  /** Age of the last confirmed view of the store, in milliseconds; infinite until the first. */
   getStoreAgeMs(): number;
-  /** Requests that have no answer yet. */
-  getRequests(): number;
-  /** Messages that other VMs that follow this one were sent. */
-  getFeedMessages(): number;
+  /** Number of requests that have not been answered yet. */
+  getOpenRequestCount(): number;
+  /** Messages sent so far to the VMs that follow this one. */
+  getFeedMessageCount(): number;
 }
 
 type Prom = typeof import('prom-client');
@@ -55,7 +59,7 @@
 function createRolloutGauges(
   prom: Prom,
   registers: Registry[],
-): Pick<Loaded, 'rolloutShare' | 'rolloutAnswers'> {
+): Pick<PrometheusMetrics, 'rolloutShare' | 'rolloutAnswers'> {
   return {
     rolloutShare: new prom.Gauge({
       name: 'masticlink_gateway_rollout_share',
@@ -72,7 +76,7 @@
   };
 }
 
-async function loadMetrics(): Promise<Loaded> {
+async function loadMetrics(): Promise<PrometheusMetrics> {
   const prom = await import('prom-client');
   const registry = new prom.Registry();
   const registers = [registry];
@@ -88,7 +92,7 @@
       name: 'masticlink_gateway_answer_seconds',
       help: 'Time from a request’s head to a target’s answer.',
       labelNames: ['route'],
-      buckets: BUCKETS_S,
+      buckets: LATENCY_BUCKETS_S,
       registers,
     }),
     storeCalls: new prom.Counter({
@@ -140,85 +144,92 @@
 }
 
 /**
- * Counters and histograms. The library takes some 20 ms to load, which a restart on half a core
- * can't spare, so it is loaded when metrics are first asked for; what was counted before is kept.
+ * Prometheus metrics of the gateway. Loading prom-client takes about 20 ms, too long for a restart
+ * on half a core, so it is loaded on the first scrape. Counts and observations made before that are
+ * kept.
  */
 export class GatewayMetrics {
   /** @internal */
   private readonly counts = new Map<string, number>();
 
   /** @internal */
-  private early: Observation[] = [];
+  private earlyObservations: Observation[] = [];
 
   /** @internal */
-  private loaded: Promise<Loaded> | undefined;
+  private promMetrics: Promise<PrometheusMetrics> | undefined;
 
-  /** @param sources - Totals that other parts count. */
+  /** @param sources - Values that other components count. */
   constructor(private readonly sources: MetricSources) {}
 
   /**
-   * Counts a decision, and the time of an answered request.
-   * @param effect - The decision's log line.
+   * Counts a balancer event; for an answered request also records its latency.
+   * @param effect - The log effect of the event.
    */
-  note({ event, fields }: LogEffect): void {
+  record({ event, fields }: LogEffect): void {
     const reason = typeof fields.reason === 'string' ? fields.reason : '';
     const key = `${event} ${reason}`;
     this.counts.set(key, (this.counts.get(key) ?? 0) + 1);
     if (event !== 'request.answered') return;
-    this.early.push({
+    this.earlyObservations.push({
       seconds: Number(fields.tookMs) / MS_PER_SECOND,
       route: String(fields.route),
     });
-    if (this.early.length > MOST_EARLY) this.early.shift();
+    if (this.earlyObservations.length > MAX_EARLY_OBSERVATIONS) this.earlyObservations.shift();
   }
 
-  /** All metrics as text, and the type of that text. */
+  /** Returns all metrics in text format, with the content type. */
   async read(): Promise<{ readonly type: string; readonly text: string }> {
-    this.loaded ??= loadMetrics();
-    const loaded = await this.loaded;
-    this.takeCounts(loaded);
-    this.takeStandings(loaded);
-    this.takeLearnt(loaded);
-    this.takeRollouts(loaded);
-    const { registry } = loaded;
+    this.promMetrics ??= loadMetrics();
+    const promMetrics = await this.promMetrics;
+    this.updateCounts(promMetrics);
+    this.updateGauges(promMetrics);
+    this.updateLearntCurves(promMetrics);
+    this.updateRollouts(promMetrics);
+    const { registry } = promMetrics;
     return { type: registry.contentType, text: await registry.metrics() };
   }
 
   /** @internal */
-  private takeCounts({ answers, events, storeCalls, probes, feedMessages }: Loaded): void {
-    for (const { seconds, route } of this.early) answers.observe({ route }, seconds);
-    this.early = [];
+  private updateCounts({
+    answers,
+    events,
+    storeCalls,
+    probes,
+    feedMessages,
+  }: PrometheusMetrics): void {
+    for (const { seconds, route } of this.earlyObservations) answers.observe({ route }, seconds);
+    this.earlyObservations = [];
     events.reset();
     for (const [key, count] of this.counts) {
       const [event, reason] = key.split(' ');
       events.inc({ event, reason }, count);
     }
     storeCalls.reset();
-    for (const [key, count] of this.sources.getStoreCalls()) {
+    for (const [key, count] of this.sources.getStoreCallCounts()) {
       const [method, section] = key.split(' ');
       storeCalls.inc({ method, section }, count);
     }
     probes.reset();
-    probes.inc(this.sources.getProbes());
+    probes.inc(this.sources.getProbeCount());
     feedMessages.reset();
-    feedMessages.inc(this.sources.getFeedMessages());
+    feedMessages.inc(this.sources.getFeedMessageCount());
   }
 
   /** @internal */
-  private takeLearnt({ learntSlowdown, learntWeight }: Loaded): void {
+  private updateLearntCurves({ learntSlowdown, learntWeight }: PrometheusMetrics): void {
     learntSlowdown.reset();
     learntWeight.reset();
-    for (const [service, { levels, slowdownWeight }] of this.sources.getCurves()) {
+    for (const [service, { levels, slowdownWeight }] of this.sources.getLearntCurves()) {
       levels.forEach((level, i) => learntSlowdown.set({ service, eighth: i + 1 }, level));
       learntWeight.set({ service }, slowdownWeight);
     }
   }
 
   /** @internal */
-  private takeRollouts({ rolloutShare, rolloutAnswers }: Loaded): void {
+  private updateRollouts({ rolloutShare, rolloutAnswers }: PrometheusMetrics): void {
     rolloutShare.reset();
     rolloutAnswers.reset();
-    for (const [service, { version, stage, share, counts }] of this.sources.getRollouts()) {
+    for (const [service, { version, stage, share, counts }] of this.sources.getRolloutFigures()) {
       rolloutShare.set({ service, version, stage }, share);
       for (const [targets, { answers, bad }] of Object.entries(counts)) {
         rolloutAnswers.set({ service, targets, outcome: 'good' }, answers - bad);
@@ -228,14 +239,14 @@
   }
 
   /** @internal */
-  private takeStandings({ targets, storeAge, requests }: Loaded): void {
+  private updateGauges({ targets, storeAge, requests }: PrometheusMetrics): void {
     targets.reset();
-    for (const [service, counts] of this.sources.getTargets()) {
+    for (const [service, counts] of this.sources.getTargetCounts()) {
       for (const standing of TARGET_STANDINGS) {
         targets.set({ service, standing }, counts[standing]);
       }
     }
     storeAge.set(this.sources.getStoreAgeMs() / MS_PER_SECOND);
-    requests.set(this.sources.getRequests());
+    requests.set(this.sources.getOpenRequestCount());
   }
 }
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -16,34 +16,42 @@
 import type { ExposureBound } from '../rollouts/index.js';
 import type { Clock } from '../timing/index.js';
 import { TimerService } from '../timing/index.js';
+import { ActiveRequests } from './ActiveRequests.js';
 import { BalancerLoop } from './BalancerLoop.js';
-import { CallerDoor } from './CallerDoor.js';
+import { CallerRequestHandler } from './CallerRequestHandler.js';
+import { GatewayEndpoints } from './GatewayEndpoints.js';
 import { GatewayMetrics } from './GatewayMetrics.js';
-import { GatewayPages } from './GatewayPages.js';
 import { getOwnRollout } from './getOwnRollout.js';
-import { Prober } from './Prober.js';
-import { Sendings } from './Sendings.js';
+import { RequestTimers } from './RequestTimers.js';
 import { TargetAgents } from './TargetAgents.js';
-import { Wakes } from './Wakes.js';
+import { TargetProber } from './TargetProber.js';
 import { writeAddressAnswer } from './writeAddressAnswer.js';
 
 /** Largest head of a request, in bytes; no configuration so far allows more. */
-const HEADER_BYTES = 32 * 1024;
+const MAX_HEADER_BYTES = 32 * 1024;
 
-const MOST_CONNECTIONS = 2_000;
+/** Connections accepted from callers at the same time. */
+const MAX_CONNECTIONS = 2_000;
 
-/** Before the end of the grace period, the process ends by itself so much earlier, in ms. */
-const END_MARGIN_MS = 400;
+/** The process exits this long before the end of the grace period, in milliseconds. */
+const GRACE_MARGIN_MS = 400;
 
-/** After a planned stop began the process stays at least so long, for callers who know it yet. */
-const STOP_LEAST_MS = 3_300;
+/**
+ * A planned stop takes at least this long, in milliseconds: until then callers may still use the
+ * address of this VM.
+ */
+const MIN_STOP_MS = 3_300;
 
-const POLL_MS = 20;
+/** Interval at which a planned stop checks for open requests, in milliseconds. */
+const STOP_POLL_MS = 20;
 
-/** Idle connections live longer than the configured time, in ms: a request may be on its way. */
+/**
+ * Callers' idle connections are kept this much longer than configured, in milliseconds: a request
+ * may already be in transit when the configured time ends.
+ */
 const IDLE_MARGIN_MS = 500;
 
-/** What a test may put in place of the process's own. */
+/** Dependencies of `GatewayProcess`; tests supply their own. */
 export interface GatewayParts {
   readonly settings: GatewaySettings;
   readonly clock: Clock;
@@ -51,9 +59,9 @@
   random(): number;
 }
 
-/** What every entry VM runs on the platform. */
+/** The gateway: the process that runs on every entry VM of the platform. */
 export class GatewayProcess {
-  /** What the process knows; for tests and reports, read only. */
+  /** The balancer's state; tests and reports may read it but must not change it. */
   readonly state: BalancerState;
 
   /** @internal */
@@ -66,7 +74,7 @@
   private readonly store: ObjectStore;
 
   /** @internal */
-  private readonly sync: FleetSync;
+  private readonly fleetSync: FleetSync;
 
   /** @internal */
   private readonly membership: FleetMembership;
@@ -75,10 +83,10 @@
   private readonly neighbours: Neighbours;
 
   /** @internal */
-  private readonly limits: LimitSync;
+  private readonly limitSync: LimitSync;
 
-  /** Undefined where operators order no rollouts. @internal */
-  private readonly rollouts: RolloutSync | undefined;
+  /** Undefined if the settings do not enable rollouts. @internal */
+  private readonly rolloutSync: RolloutSync | undefined;
 
   /** @internal */
   private readonly loop: BalancerLoop;
@@ -87,27 +95,27 @@
   private readonly agents = new TargetAgents();
 
   /** @internal */
-  private readonly prober: Prober;
+  private readonly prober: TargetProber;
 
   /** @internal */
-  private readonly sendings: Sendings;
+  private readonly activeRequests: ActiveRequests;
 
   /** @internal */
   private readonly metrics: GatewayMetrics;
 
   /** @internal */
-  private readonly wakes: Wakes;
+  private readonly wakeTimers: RequestTimers;
 
   /** @internal */
-  private readonly pages: GatewayPages;
+  private readonly endpoints: GatewayEndpoints;
 
   /** @internal */
-  private callers: CallerServer | undefined;
+  private callerServer: CallerServer | undefined;
 
   /** @internal */
   private isStopping = false;
 
-  /** @param parts - Settings, clock, log and chance. */
+  /** @param parts - Settings, clock, log and random numbers. */
   constructor(private readonly parts: GatewayParts) {
     const { settings, clock, log, random } = parts;
     this.state = createBalancerState(settings.balancing, clock.now());
@@ -115,20 +123,20 @@
     this.store = new ObjectStore(settings.storeAddress, (section, name, reason) =>
       log.write('store.unreadable', { section, name, reason }),
     );
-    const run = `${settings.self.name}/${random()}`;
-    this.view = new FleetView(clock, run);
+    const runId = `${settings.self.name}/${random()}`;
+    this.view = new FleetView(clock, runId);
     const { self, listen, seeds } = settings;
     const { store, view } = this;
-    const { rollouts: bound } = settings.balancing;
-    const sections = bound === undefined ? SECTIONS_WITHOUT_ROLLOUTS : SECTIONS;
+    const { rollouts: exposureBound } = settings.balancing;
+    const sections = exposureBound === undefined ? SECTIONS_WITHOUT_ROLLOUTS : SECTIONS;
     const fleetParts = { self, store, view, clock, log, sections, random };
-    this.sync = new FleetSync({ ...fleetParts, listen: listen.peers, seeds });
+    this.fleetSync = new FleetSync({ ...fleetParts, listen: listen.peers, seeds });
     this.membership = new FleetMembership({
       ...fleetParts,
       isFirstStart: settings.isFirstStart,
       seeds,
       ask: (address, onEnd) => new FeedClient(address, view, clock, onEnd, self),
-      onKnown: () => this.sync.begin(),
+      onKnown: () => this.fleetSync.begin(),
     });
     const context = {
       get now() {
@@ -136,25 +144,25 @@
       },
       random,
     };
-    this.loop = new BalancerLoop(this.state, context, (effect) => this.run(effect));
+    this.loop = new BalancerLoop(this.state, context, (effect) => this.runEffect(effect));
     const { dispatch } = this.loop;
-    this.prober = new Prober(this.agents, clock, ({ target, bornAt }, end) =>
+    this.prober = new TargetProber(this.agents, clock, ({ target, bornAt }, end) =>
       dispatch({ kind: 'probeEnded', target, bornAt, end }),
     );
-    this.sendings = new Sendings(this.agents, clock, dispatch);
+    this.activeRequests = new ActiveRequests(this.agents, clock, dispatch);
     this.metrics = new GatewayMetrics({
-      getStoreCalls: () => this.store.calls,
-      getProbes: () => this.prober.sent,
-      getTargets: () => countTargets(this.state, clock.now()),
-      getCurves: () =>
+      getStoreCallCounts: () => this.store.calls,
+      getProbeCount: () => this.prober.sentProbes,
+      getTargetCounts: () => countTargets(this.state, clock.now()),
+      getLearntCurves: () =>
         new Map([...this.state.curves].map(([service, { learnt }]) => [service, learnt])),
-      getRollouts: () => getRolloutFigures(this.state, clock.now()),
+      getRolloutFigures: () => getRolloutFigures(this.state, clock.now()),
       getStoreAgeMs: () => view.getAgeMs(),
-      getRequests: () => this.sendings.size,
-      getFeedMessages: () => this.sync.sentMessages,
+      getOpenRequestCount: () => this.activeRequests.size,
+      getFeedMessageCount: () => this.fleetSync.sentMessages,
     });
-    this.wakes = new Wakes(clock, (request) => dispatch({ kind: 'wakeDue', request }));
-    this.pages = new GatewayPages({
+    this.wakeTimers = new RequestTimers(clock, (request) => dispatch({ kind: 'wakeDue', request }));
+    this.endpoints = new GatewayEndpoints({
       listen: settings.listen,
       metrics: this.metrics,
       log,
@@ -168,13 +176,13 @@
       clock,
       log,
       isReady: () => this.isReady,
-      onChange: () => this.tellVms(),
+      onChange: () => this.dispatchVmsChanged(),
       onMessage: (text, address) => {
-        if (!this.limits.take(text, address)) this.rollouts?.take(text, address);
+        if (!this.limitSync.take(text, address)) this.rolloutSync?.take(text, address);
       },
     });
-    this.limits = this.createLimitSync();
-    this.rollouts = bound && this.createRolloutSync(run, bound);
+    this.limitSync = this.createLimitSync();
+    this.rolloutSync = exposureBound && this.createRolloutSync(runId, exposureBound);
   }
 
   /** @internal */
@@ -191,17 +199,17 @@
   }
 
   /** @internal */
-  private createRolloutSync(run: string, bound: ExposureBound): RolloutSync {
+  private createRolloutSync(runId: string, exposureBound: ExposureBound): RolloutSync {
     const { settings, clock, log } = this.parts;
     const { store, view } = this;
     return new RolloutSync({
       self: settings.self,
-      run,
+      run: runId,
       store,
       view,
       clock,
       log,
-      bound,
+      bound: exposureBound,
       send: (text, address) => this.neighbours.send(text, address),
       getOwn: (order) => getOwnRollout(this.state, order, clock.now()),
       onGuidance: (order, guidance, until) =>
@@ -209,61 +217,67 @@
     });
   }
 
-  /** Starts to listen and to follow the store; resolves once callers can connect. */
+  /**
+   * Starts the listeners and the synchronisation with the store; resolves once callers can connect.
+   * @throws StartError if an address cannot be listened on.
+   */
   async start(): Promise<void> {
     const { settings, log, clock } = this.parts;
-    this.view.onChange(({ section }) => this.takeSection(section));
+    this.view.onChange(({ section }) => this.handleSectionChange(section));
     this.membership.join();
     await this.listen();
-    this.sync.start(this.timers);
+    this.fleetSync.start(this.timers);
     this.neighbours.start(this.timers);
-    this.limits.start(this.timers);
-    this.rollouts?.start(this.timers);
+    this.limitSync.start(this.timers);
+    this.rolloutSync?.start(this.timers);
     const { self } = settings;
     log.write('process.started', { ...self, storeAddress: settings.storeAddress, at: clock.now() });
   }
 
-  /** Whether this VM takes callers. */
+  /** Whether this VM accepts callers: it is not stopping and knows routes and targets. */
   get isReady(): boolean {
     return !this.isStopping && this.view.table !== undefined && this.view.targets.size > 0;
   }
 
-  /** A planned stop: callers are told of other VMs, what is here is ended. Resolves at the end. */
+  /**
+   * Performs a planned stop: callers are directed to other VMs while open requests are completed.
+   * Resolves when these are done or the grace period is almost over.
+   */
   async stop(): Promise<void> {
     if (this.isStopping) return;
     const { clock, log, settings } = this.parts;
     const startedAt = clock.now();
     this.isStopping = true;
-    log.write('process.stopping', { requests: this.sendings.size });
+    log.write('process.stopping', { requests: this.activeRequests.size });
     this.loop.dispatch({ kind: 'stopAsked' });
-    this.callers?.endKeepAlive();
+    this.callerServer?.endKeepAlive();
     this.neighbours.leave();
     this.membership.leave();
-    const endsAt = startedAt + settings.graceMs - END_MARGIN_MS;
-    const leastAt = Math.min(startedAt + STOP_LEAST_MS, endsAt);
-    while (clock.now() < leastAt || (this.sendings.size > 0 && clock.now() < endsAt)) {
+    const latestAt = startedAt + settings.graceMs - GRACE_MARGIN_MS;
+    const earliestAt = Math.min(startedAt + MIN_STOP_MS, latestAt);
+    while (clock.now() < earliestAt || (this.activeRequests.size > 0 && clock.now() < latestAt)) {
       await new Promise<void>((resolve) => {
-        clock.after(POLL_MS, resolve);
+        clock.after(STOP_POLL_MS, resolve);
       });
     }
-    log.write('process.stopped', { requests: this.sendings.size });
+    log.write('process.stopped', { requests: this.activeRequests.size });
   }
 
-  /** Ends everything at once. */
+  /** Stops all components at once, without waiting for open requests. */
   close(): void {
     this.timers.stop();
-    this.sync.stop();
+    this.fleetSync.stop();
     this.neighbours.stop();
-    this.wakes.stop();
-    this.pages.close();
-    this.callers?.destroy();
+    this.wakeTimers.stop();
+    this.endpoints.close();
+    this.callerServer?.destroy();
     this.agents.destroy();
     this.store.close();
   }
 
   /**
-   * Takes settings that have changed.
-   * @param settings - The new ones.
+   * Applies changed settings. Only the store's address takes effect without a restart.
+   * @param settings - The new settings.
    */
   reload(settings: GatewaySettings): void {
     this.store.moveTo(settings.storeAddress);
@@ -273,30 +287,30 @@
   /** @internal */
   private async listen(): Promise<void> {
     const { listen } = this.parts.settings;
-    const door = new CallerDoor({
+    const requestHandler = new CallerRequestHandler({
       clock: this.parts.clock,
-      sendings: this.sendings,
+      activeRequests: this.activeRequests,
       dispatch: this.loop.dispatch,
-      getLimits: () => this.view.table?.limits,
+      getCallerLimits: () => this.view.table?.limits,
     });
-    this.callers = await CallerServer.listen({
+    this.callerServer = await CallerServer.listen({
       listen: listen.callers,
-      headerBytes: HEADER_BYTES,
-      maxConnections: MOST_CONNECTIONS,
+      headerBytes: MAX_HEADER_BYTES,
+      maxConnections: MAX_CONNECTIONS,
     });
-    this.callers.handle = (...request) => door.accept(...request);
-    await this.pages.listen();
+    this.callerServer.handle = (...request) => requestHandler.handle(...request);
+    await this.endpoints.listen();
   }
 
   /** @internal */
-  private takeSection(section: Section): void {
+  private handleSectionChange(section: Section): void {
     const { dispatch } = this.loop;
     const { view } = this;
     switch (section) {
       case 'configuration':
         if (view.table !== undefined) {
           dispatch({ kind: 'tableRead', table: view.table });
-          this.applyLimits();
+          this.applyConnectionLimits();
         }
         break;
       case 'targets':
@@ -315,62 +329,62 @@
         break;
       default:
         this.neighbours.update(view.vms.values());
-        this.tellVms();
+        this.dispatchVmsChanged();
     }
   }
 
   /** @internal */
-  private applyLimits(): void {
+  private applyConnectionLimits(): void {
     const { table, vms } = this.view;
     if (table === undefined) return;
-    this.callers?.setIdleTimeout(table.limits.idleTimeoutMs + IDLE_MARGIN_MS);
+    this.callerServer?.setIdleTimeout(table.limits.idleTimeoutMs + IDLE_MARGIN_MS);
     const connections = table.services.map(({ maxConnections }) => maxConnections);
     this.agents.limits = { maxConnections: Math.min(...connections), vms: Math.max(1, vms.size) };
   }
 
   /** @internal */
-  private tellVms(): void {
+  private dispatchVmsChanged(): void {
     const down = new Set(this.neighbours.getDown());
     const { self } = this.parts.settings;
     const names = new Set([...this.view.vms.keys(), self.name]);
     const announced = [...names].sort();
     const vms = announced.filter((name) => !down.has(name));
     this.loop.dispatch({ kind: 'vmsChanged', vms, announced });
-    this.applyLimits();
+    this.applyConnectionLimits();
   }
 
   /** @internal */
-  private run(effect: BalancerEffect): void {
-    const { sendings } = this;
+  private runEffect(effect: BalancerEffect): void {
+    const { activeRequests } = this;
     switch (effect.kind) {
       case 'probe':
         this.prober.probe(effect.to, effect.path);
         break;
       case 'sendAttempt':
-        sendings.send(effect);
+        activeRequests.startAttempt(effect);
         break;
       case 'cancelAttempt':
-        sendings.cancel(effect.attempt);
+        activeRequests.cancelAttempt(effect.attempt);
         break;
       case 'deliver':
-        this.wakes.cancel(effect.request);
-        sendings.deliver(effect.request, effect.attempt);
+        this.wakeTimers.cancel(effect.request);
+        activeRequests.deliver(effect.request, effect.attempt);
         break;
       case 'answer':
-        this.wakes.cancel(effect.request);
-        sendings.answer(effect.request, effect.status, effect.reason, effect.retryAfterMs);
+        this.wakeTimers.cancel(effect.request);
+        activeRequests.answer(effect.request, effect.status, effect.reason, effect.retryAfterMs);
         break;
       case 'wake':
-        this.wakes.set(effect.request, effect.at);
+        this.wakeTimers.set(effect.request, effect.at);
         break;
       case 'askPermit':
       case 'answerPermit':
       case 'returnPermit':
       case 'gossipLimits':
-        this.limits.run(effect);
+        this.limitSync.run(effect);
         break;
       default:
-        this.metrics.note(effect);
+        this.metrics.record(effect);
         this.parts.log.write(effect.event, effect.fields);
     }
   }
--- a/src/gateway/TargetAgents.ts
+++ b/src/gateway/TargetAgents.ts
@@ -1,48 +1,49 @@
 import type { Destination } from '../balancing/index.js';
 import { TargetAgent } from './TargetAgent.js';
 
-/** Connections that this VM may open to one target whatever its share is. */
-const LEAST_CONNECTIONS = 4;
+/** Connections that this VM may always open to a target, even if its share is smaller. */
+const MIN_CONNECTIONS = 4;
 
-/** Part of a target's connections that all entry VMs together use, so that some stay for others. */
+/** Share of a target's connections that all entry VMs use together; the rest is for others. */
 const CONNECTION_SHARE = 0.8;
 
-/** The connections of this VM, by target and by its lifetime. */
+/** Connection pools of the targets. A target that has restarted gets a new pool. */
 export class TargetAgents {
   /** @internal */
   private readonly agents = new Map<string, TargetAgent>();
 
-  /** Connections that all entry VMs may open to one target, and how many VMs there are. */
+  /** Connections that a target accepts from all entry VMs together, and the number of VMs. */
   limits = { maxConnections: 100, vms: 1 };
 
   /**
-   * The connections to a target.
+   * Returns the connection pool of a target, creating it if necessary.
    * @param to - The target.
    */
-  get(to: Destination): TargetAgent {
+  getAgent(to: Destination): TargetAgent {
     const key = `${to.target} ${to.bornAt} ${to.address}`;
-    const known = this.agents.get(key);
-    if (known !== undefined) return known;
+    const existing = this.agents.get(key);
+    if (existing !== undefined) return existing;
     const { maxConnections, vms } = this.limits;
-    const own = Math.floor((maxConnections * CONNECTION_SHARE) / vms);
-    const made = new TargetAgent(Math.max(LEAST_CONNECTIONS, own));
-    this.agents.set(key, made);
-    return made;
+    const ownShare = Math.floor((maxConnections * CONNECTION_SHARE) / vms);
+    const created = new TargetAgent(Math.max(MIN_CONNECTIONS, ownShare));
+    this.agents.set(key, created);
+    return created;
   }
 
   /**
-   * Ends idle connections to targets that are no longer used.
-   * @param targets - Ids of those that are.
+   * Drops the pools of all other targets and destroys their idle connections. Requests in progress
+   * are completed.
+   * @param targets - Ids of the targets whose pools are kept.
    */
   keepOnly(targets: ReadonlySet<string>): void {
     for (const [key, agent] of this.agents) {
       if (targets.has(key.slice(0, key.indexOf(' ')))) continue;
-      agent.dropIdle();
+      agent.destroyIdle();
       this.agents.delete(key);
     }
   }
 
-  /** Ends all connections. */
+  /** Destroys all connections. */
   destroy(): void {
     for (const agent of this.agents.values()) agent.destroy();
   }
--- a/src/gateway/Prober.ts
+++ b/src/gateway/TargetProber.ts
@@ -8,15 +8,15 @@
 
 const OK = 200;
 
-/** Asks targets for their health and load. */
-export class Prober {
+/** Probes targets for their health and load. */
+export class TargetProber {
   /** Probes sent so far. */
-  sent = 0;
+  sentProbes = 0;
 
   /**
-   * @param agents - Connections to targets.
-   * @param clock - Time to go by.
-   * @param onEnded - Told how each probe ended.
+   * @param agents - Connection pools of the targets.
+   * @param clock - Clock for the time of load readings.
+   * @param onEnded - Called with the outcome of each probe.
    */
   constructor(
     private readonly agents: TargetAgents,
@@ -26,14 +26,14 @@
 
   /**
    * Sends one probe; `onEnded` is called exactly once.
-   * @param to - The target.
-   * @param path - Its health path.
+   * @param to - The target to probe.
+   * @param path - Health check path of its service.
    */
   probe(to: Destination, path: string): void {
-    let isOver = false;
+    let hasEnded = false;
     const finish = (end: ProbeEnd): void => {
-      if (isOver) return;
-      isOver = true;
+      if (hasEnded) return;
+      hasEnded = true;
       this.onEnded(to, end);
     };
     this.send(to, path, finish);
@@ -41,14 +41,14 @@
 
   /** @internal */
   private send(to: Destination, path: string, finish: (end: ProbeEnd) => void): void {
-    this.sent += 1;
-    const agent = this.agents.get(to);
+    this.sentProbes += 1;
+    const agent = this.agents.getAgent(to);
     const [host, port] = to.address.split(':');
     const req = request({ host, port, path, agent });
     let isConnected = false;
     const timer = setTimeout(() => {
-      // The other idle connections to it may be as dead as this one.
-      agent.dropIdle();
+      // The other idle connections to this target are probably dead as well.
+      agent.destroyIdle();
       finish({ kind: 'silent' });
       req.destroy();
     }, PROBE_TIMEOUT_MS);
@@ -63,9 +63,9 @@
     req.once('response', (res) => {
       const now = this.clock.now();
       const head = readTargetHead(res.headers, res.statusCode === OK, now);
-      // An answer to a request, come late, at the place of the probe's.
-      const isForeign = head.callerRequestId !== undefined;
-      if (isForeign) {
+      // A late answer to an earlier request on this connection, received in place of the probe's.
+      const isLateAnswer = head.callerRequestId !== undefined;
+      if (isLateAnswer) {
         finish({ kind: 'broken' });
         req.destroy();
         return;
@@ -79,7 +79,7 @@
       res.resume();
     });
     req.once('error', () => {
-      // Targets end idle connections without notice; that says nothing of their health.
+      // Targets close idle connections without notice, which says nothing about their health.
       if (req.reusedSocket) this.send(to, path, finish);
       else finish({ kind: isConnected ? 'broken' : 'refused' });
     });
--- /dev/null
+++ b/src/gateway/TargetRequest.ts
@@ -0,0 +1,219 @@
+import type { ClientRequest, IncomingMessage } from 'node:http';
+import { request } from 'node:http';
+
+import type { AttemptEnd, Destination } from '../balancing/index.js';
+import { cleanHeaders } from '../entry/exchange/headers.js';
+import type { TargetHead } from '../platform/index.js';
+import { readTargetHead, writeTargetHeaders } from '../platform/index.js';
+import type { Clock } from '../timing/index.js';
+import type { TargetAgent } from './TargetAgent.js';
+
+/** Timeout for connecting to a target, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 250;
+
+/**
+ * Answers up to this size, in bytes, are buffered completely before anything is sent to the caller,
+ * so that a truncated answer can still be replaced by another target's. Larger ones are streamed.
+ */
+const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
+
+const MISDIRECTED_REQUEST = 421;
+const FIRST_SUCCESS = 200;
+const FIRST_REDIRECT = 300;
+/** Statuses from which a caller concludes that its request has not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const BAD_GATEWAY = 502;
+const NO_CONTENT = 204;
+const NOT_MODIFIED = 304;
+
+/** A request to a target and where to send it. */
+export interface TargetRequestOptions {
+  readonly agent: TargetAgent;
+  readonly clock: Clock;
+  readonly to: Destination;
+  readonly method: string;
+  readonly path: string;
+  /** Alternating names and values, without hop-by-hop headers. */
+  readonly headers: readonly string[];
+  /** Undefined if the request has no body. */
+  readonly body: Buffer | undefined;
+  readonly callerRequestId: string | undefined;
+  readonly allowedMs: number;
+  readonly onEnd: (end: AttemptEnd) => void;
+}
+
+/** A target's answer that can be forwarded to the caller. */
+export interface TargetAnswer {
+  readonly status: number;
+  /** Alternating names and values, without hop-by-hop headers. */
+  readonly headers: readonly string[];
+  /** The body as far as it has been read. */
+  readonly body: Buffer;
+  /** Stream of the rest of a large body; undefined if `body` is complete. */
+  readonly remainder: IncomingMessage | undefined;
+}
+
+/** Whether the end of an answer's body is marked only by the close of the connection. */
+function isCloseDelimited({ headers, statusCode }: IncomingMessage): boolean {
+  const isFramed =
+    headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
+  return !isFramed && statusCode !== NO_CONTENT && statusCode !== NOT_MODIFIED;
+}
+
+/** One HTTP request to a target, made for one attempt. */
+export class TargetRequest {
+  /** The answer; set before `onEnd` is called with `answered`. */
+  answer: TargetAnswer | undefined;
+
+  /** @internal */
+  private readonly req: ClientRequest;
+
+  /** @internal */
+  private isConnected = false;
+
+  /** @internal */
+  private hasEnded = false;
+
+  /** @param options - The request and its target. */
+  constructor(private readonly options: TargetRequestOptions) {
+    const { to, method, path, body, headers, agent, allowedMs } = options;
+    const [host, port] = to.address.split(':');
+    const requestHeaders = writeTargetHeaders(headers, to.target, allowedMs, body?.length);
+    this.req = request({ host, port, method, path, agent, headers: requestHeaders });
+    const connectTimer = setTimeout(() => this.abortConnecting(), CONNECT_TIMEOUT_MS);
+    this.req.once('socket', (socket) => {
+      const markConnected = (): void => {
+        this.isConnected = true;
+        clearTimeout(connectTimer);
+      };
+      if (socket.connecting) socket.once('connect', markConnected);
+      else markConnected();
+    });
+    this.req.once('response', (res) => this.readResponse(res));
+    this.req.once('error', () => this.finish({ kind: this.isConnected ? 'broken' : 'unsent' }));
+    this.req.once('close', () => {
+      clearTimeout(connectTimer);
+      this.finish({ kind: this.isConnected ? 'broken' : 'unsent' });
+    });
+    this.req.end(body);
+  }
+
+  /** Aborts the request; `onEnd` is not called afterwards. */
+  cancel(): void {
+    this.hasEnded = true;
+    this.req.destroy();
+  }
+
+  /** @internal */
+  private abortConnecting(): void {
+    if (this.isConnected) return;
+    this.finish({ kind: 'unsent' });
+    this.req.destroy();
+  }
+
+  /** @internal */
+  private finish(end: AttemptEnd): void {
+    if (this.hasEnded) return;
+    this.hasEnded = true;
+    this.options.onEnd(end);
+  }
+
+  /** @internal */
+  private readResponse(res: IncomingMessage): void {
+    const status = res.statusCode ?? 0;
+    const head = readTargetHead(res.headers, true, this.options.clock.now());
+    const end = this.classifyHead(status, head);
+    if (end !== undefined) {
+      this.finish(end);
+      // Unless the target merely rejected the request, the connection cannot be trusted any more.
+      if (end.kind === 'rejected') res.resume();
+      else this.req.destroy();
+      return;
+    }
+    if (isCloseDelimited(res)) this.detectReset(res);
+    const chunks: Buffer[] = [];
+    let size = 0;
+    const onData = (chunk: Buffer): void => {
+      chunks.push(chunk);
+      size += chunk.length;
+      if (size <= MAX_BUFFERED_ANSWER_BYTES) return;
+      res.off('data', onData);
+      res.pause();
+      this.completeAnswer(status, res, chunks, head, res);
+    };
+    res.on('data', onData);
+    res.once('end', () => {
+      if (res.complete) this.completeAnswer(status, res, chunks, head, undefined);
+      else this.finish({ kind: 'broken' });
+      this.destroyIfRequestIncomplete();
+    });
+    res.once('aborted', () => this.finish({ kind: 'broken' }));
+    res.once('error', () => this.finish({ kind: 'broken' }));
+  }
+
+  /**
+   * Detects a reset at the end of an answer that is delimited by the close of its connection.
+   *
+   * A reset that arrives together with the last bytes is reported as an ordinary end, because there
+   * was still data to read, and the caller would take a truncated answer for a complete one. A
+   * write distinguishes the two: after a reset it fails at once. The empty line that is written has
+   * no meaning, as servers ignore empty lines before a request.
+   * @internal
+   */
+  private detectReset(res: IncomingMessage): void {
+    const { socket } = res;
+    // Otherwise the socket could not be written to after the target has ended its side.
+    socket.allowHalfOpen = true;
+    socket.prependOnceListener('end', () => {
+      socket.write('\r\n', (err) => {
+        if (!err) return;
+        this.finish({ kind: 'broken' });
+        res.destroy(err);
+      });
+    });
+  }
+
+  /** Returns the outcome if the head decides it, undefined if the body has to be read. @internal */
+  private classifyHead(status: number, head: TargetHead): AttemptEnd | undefined {
+    const { callerRequestId } = this.options;
+    if (head.hasNotRun) return { kind: 'rejected', reading: head.reading, limit: head.limit };
+    if (status === MISDIRECTED_REQUEST) return { kind: 'misdirected' };
+    // A late answer to an earlier request on this connection; the target may still run this one.
+    if (callerRequestId !== undefined && head.callerRequestId !== callerRequestId) {
+      return { kind: 'spoilt' };
+    }
+    const isSuccess = status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
+    if (isSuccess && !head.isSigned) return { kind: 'spoilt' };
+    return head.isEncoded ? { kind: 'spoilt' } : undefined;
+  }
+
+  /** @internal */
+  private completeAnswer(
+    status: number,
+    res: IncomingMessage,
+    chunks: readonly Buffer[],
+    { reading, limit }: TargetHead,
+    remainder: IncomingMessage | undefined,
+  ): void {
+    if (this.hasEnded) return;
+    const { headers } = cleanHeaders(res.rawHeaders);
+    // The target did not confirm that the request has not run, so the caller must not conclude it.
+    const isMisleading = NOT_RUN_STATUSES.has(status);
+    this.answer = {
+      status: isMisleading ? BAD_GATEWAY : status,
+      headers: isMisleading ? [] : headers,
+      body: isMisleading ? Buffer.alloc(0) : Buffer.concat(chunks),
+      remainder: isMisleading ? undefined : remainder,
+    };
+    this.finish({ kind: 'answered', status, reading, limit });
+  }
+
+  /**
+   * Destroys the connection of a target that answered before it had received the whole request: it
+   * would take the rest of the body for the start of the next request on this connection.
+   * @internal
+   */
+  private destroyIfRequestIncomplete(): void {
+    if (!this.req.writableFinished) this.req.destroy();
+  }
+}
--- a/src/gateway/getOwnRollout.ts
+++ b/src/gateway/getOwnRollout.ts
@@ -4,9 +4,10 @@
 import type { RolloutOrder } from '../rollouts/index.js';
 
 /**
- * What this VM reports of an order; undefined if its decisions don't know the order yet.
- * @param state - What the VM knows.
- * @param order - The order.
+ * Returns what this VM reports about a rollout; undefined if its balancer does not know the order
+ * yet.
+ * @param state - The balancer's state.
+ * @param order - The rollout order.
  * @param now - Monotonic milliseconds.
  */
 export function getOwnRollout(
--- a/src/gateway/main.ts
+++ b/src/gateway/main.ts
@@ -1,9 +1,9 @@
 import { runGateway } from './runGateway.js';
 
-/** Where the settings file lies if the environment names no other. */
-const DEFAULT_PATH = '/etc/masticlink/node.ini';
+/** Path of the settings file if `MASTICLINK_CONFIG` is not set. */
+const DEFAULT_SETTINGS_PATH = '/etc/masticlink/node.ini';
 
-runGateway(process.env.MASTICLINK_CONFIG ?? DEFAULT_PATH)
+runGateway(process.env.MASTICLINK_CONFIG ?? DEFAULT_SETTINGS_PATH)
   .then(() => process.exit(0))
   .catch((err: Error) => {
     process.stderr.write(`${err.message}\n`);
--- a/src/gateway/runGateway.ts
+++ b/src/gateway/runGateway.ts
@@ -6,42 +6,46 @@
 import { SystemClock } from '../timing/SystemClock.js';
 import { GatewayProcess } from './GatewayProcess.js';
 
-/** How often the settings file is looked at: it may change without a signal, in milliseconds. */
-const LOOK_MS = 1_000;
+/**
+ * Interval at which the settings file is checked for changes, in milliseconds; it may change
+ * without a signal.
+ */
+const SETTINGS_POLL_MS = 1_000;
 
-/** How long the last lines of the log may take, in milliseconds. */
-const FLUSH_MS = 100;
+/** Time limit for writing the last log lines, in milliseconds. */
+const LOG_FLUSH_TIMEOUT_MS = 100;
 
-function getChangedAt(path: string): number {
+function getModifiedAt(path: string): number {
   return statSync(path).mtimeMs;
 }
 
-/** Takes the settings again on SIGHUP, and when the file has changed without a signal. */
+/** Reloads the settings on SIGHUP and when the file has changed without a signal. */
 function watchSettings(path: string, gateway: GatewayProcess, log: EventLog): void {
-  let changedAt = getChangedAt(path);
+  let modifiedAt = getModifiedAt(path);
   const reload = (): void => {
     try {
-      changedAt = getChangedAt(path);
+      modifiedAt = getModifiedAt(path);
       gateway.reload(readGatewaySettings(path));
     } catch (err) {
-      // The settings in force stay so; an operator finds the reason here.
+      // The current settings stay in force; the log tells the operator why.
       log.write('process.reloadFailed', { message: (err as Error).message });
     }
   };
   process.on('SIGHUP', reload);
   setInterval(() => {
     try {
-      if (getChangedAt(path) !== changedAt) reload();
+      if (getModifiedAt(path) !== modifiedAt) reload();
     } catch (err) {
       log.write('process.reloadFailed', { message: (err as Error).message });
     }
-  }, LOOK_MS).unref();
+  }, SETTINGS_POLL_MS).unref();
 }
 
 /**
- * Runs a gateway until SIGTERM; resolves once its planned stop is over.
- * @param path - Its settings file.
- * @throws ConfigProblemsError naming every problem of the file.
+ * Runs a gateway until SIGTERM; resolves when its planned stop is complete.
+ * @param path - Path of the settings file.
+ * @throws ConfigProblemsError listing every problem of the file.
+ * @throws StartError if an address cannot be listened on.
  * @example
  * await runGateway('/etc/masticlink/node.ini');
  */
@@ -53,7 +57,7 @@
     now: () => performance.now(),
     wallNow: () => Date.now(),
   });
-  // A fault in the handling of one connection must not end the requests of all others.
+  // An exception in the handling of one connection must not abort the requests of all others.
   process.on('uncaughtException', (err) =>
     log.write('process.fault', { message: err.message, stack: err.stack }),
   );
@@ -66,5 +70,5 @@
   await gateway.start();
   watchSettings(path, gateway, log);
   await stopped;
-  await log.flush(FLUSH_MS);
+  await log.flush(LOG_FLUSH_TIMEOUT_MS);
 }
--- a/src/logging/ConsolaLogger.ts
+++ b/src/logging/ConsolaLogger.ts
@@ -3,29 +3,29 @@
 
 import type { Logger } from './Logger.js';
 
-/** Where lines go: the process's own standard error, or a test's list. */
+/** Destination of log lines: standard error, or a list in tests. */
 export interface LogStream {
   readonly isTTY?: boolean;
   write(text: string): unknown;
 }
 
-/** How lines are written. */
+/** Level, format and destination of log lines. */
 export interface ConsolaLoggerOptions {
   readonly level: 'debug' | 'info' | 'warn' | 'error';
-  /** `auto`: text on a terminal, JSON lines elsewhere. */
+  /** `auto` writes text to a terminal and JSON lines to anything else. */
   readonly format: 'auto' | 'text' | 'json';
   readonly stream: LogStream;
-  /** Named in JSON lines, so that lines of many VMs can be told apart. */
+  /** Written in each JSON line to tell the lines of several VMs apart. */
   readonly source?: string;
 }
 
-/** Width of the longest prefix, so that the sentences of a terminal stand in one column. */
-const PREFIX_WIDTH = 8;
+/** Width to which tags are padded in text format, so that the messages start in one column. */
+const TAG_WIDTH = 8;
 
 function formatText({ date, tag, type, args }: LogObject): string {
   const time = date.toISOString().slice(11, 23);
-  const mark = type === 'warn' || type === 'error' ? `${type.toUpperCase()}: ` : '';
-  return `${time} ${tag.padEnd(PREFIX_WIDTH)} ${mark}${args.join(' ')}\n`;
+  const levelPrefix = type === 'warn' || type === 'error' ? `${type.toUpperCase()}: ` : '';
+  return `${time} ${tag.padEnd(TAG_WIDTH)} ${levelPrefix}${args.join(' ')}\n`;
 }
 
 function formatJson({ date, tag, type, args }: LogObject, source?: string): string {
@@ -34,33 +34,33 @@
 }
 
 /**
- * Writes short sentences with the prefix of the part that speaks, by consola.
+ * Logger based on consola. Each line carries the part of the process that it comes from.
  * Never throws: a log line that cannot be written must not end the process.
  */
 export class ConsolaLogger implements Logger {
   /** @internal */
-  private readonly parts = new Map<string, ConsolaInstance>();
+  private readonly taggedLoggers = new Map<string, ConsolaInstance>();
 
   /** @internal */
   private readonly consola: ConsolaInstance;
 
   /**
-   * @param options - Level, form and stream.
+   * @param options - Level, format and destination.
    * @example
    * const logger = new ConsolaLogger({ level: 'info', format: 'auto', stream: process.stderr });
    * logger.info('config', 'Generation 7 is in force.');
    */
   constructor(options: ConsolaLoggerOptions) {
     const { stream, format, source } = options;
-    const asText = format === 'text' || (format === 'auto' && stream.isTTY === true);
+    const isText = format === 'text' || (format === 'auto' && stream.isTTY === true);
     this.consola = createConsola({
       level: LogLevels[options.level],
-      // Consola drops repeated lines by default; an operator counting them would be misled.
+      // By default consola drops repeated lines, which would mislead an operator who counts them.
       throttle: 0,
       reporters: [
         {
           log: (entry) => {
-            stream.write(asText ? formatText(entry) : formatJson(entry, source));
+            stream.write(isText ? formatText(entry) : formatJson(entry, source));
           },
         },
       ],
@@ -68,27 +68,27 @@
   }
 
   debug(part: string, text: string): void {
-    this.getPart(part).debug(text);
+    this.getTaggedLogger(part).debug(text);
   }
 
   info(part: string, text: string): void {
-    this.getPart(part).info(text);
+    this.getTaggedLogger(part).info(text);
   }
 
   warn(part: string, text: string): void {
-    this.getPart(part).warn(text);
+    this.getTaggedLogger(part).warn(text);
   }
 
   error(part: string, text: string): void {
-    this.getPart(part).error(text);
+    this.getTaggedLogger(part).error(text);
   }
 
   /** @internal */
-  private getPart(part: string): ConsolaInstance {
-    const known = this.parts.get(part);
-    if (known) return known;
-    const made = this.consola.withTag(part);
-    this.parts.set(part, made);
-    return made;
+  private getTaggedLogger(part: string): ConsolaInstance {
+    const existing = this.taggedLoggers.get(part);
+    if (existing) return existing;
+    const created = this.consola.withTag(part);
+    this.taggedLoggers.set(part, created);
+    return created;
   }
 }
--- a/src/logging/EventLog.ts
+++ b/src/logging/EventLog.ts
@@ -1,23 +1,25 @@
 import { write } from 'node:fs';
 
-/** What is written may wait in memory up to this size, in bytes, while the reader stalls. */
-const MOST_WAITING = 256 * 1024;
+/** Limit on lines that are buffered in memory while the reader stalls, in bytes. */
+const MAX_PENDING_BYTES = 256 * 1024;
 
-/** Lines of one event a second, and at once after a lull. */
-const LINES_PER_SECOND = 60;
-const LINES_AT_ONCE = 120;
+/** Rate limit of each event: lines per second, and the burst allowed after a quiet period. */
+const EVENT_LINES_PER_SECOND = 60;
+const EVENT_BURST_LINES = 120;
 
 const STANDARD_OUTPUT = 1;
 
-interface EventAllowance {
-  left: number;
-  at: number;
-  leftOut: number;
+/** Token bucket of one event. */
+interface EventRateLimit {
+  tokens: number;
+  refilledAt: number;
+  /** Lines suppressed since the last one that was written. */
+  suppressed: number;
 }
 
-/** Where lines go, and what time it is; replaced in tests. */
+/** Output and clocks of an `EventLog`; replaced in tests. */
 export interface EventLogParts {
-  /** Writes text and calls back once that is done. */
+  /** Writes text and calls `done` when it has been written. */
   write(text: string, done: () => void): void;
   /** Monotonic milliseconds. */
   now(): number;
@@ -26,40 +28,42 @@
 }
 
 /**
- * Writes to standard output on a thread of the system's pool: a pipe whose reader stalls would
- * block the one thread that serves requests if it were written to directly.
+ * Writes to standard output on a thread of Node's thread pool: a direct write to a pipe whose
+ * reader stalls would block the main thread, which serves all requests.
+ * @param text - Text to write.
+ * @param done - Called when the text has been written or could not be written.
  */
 export function writeStandardOutput(text: string, done: () => void): void {
   write(STANDARD_OUTPUT, text, (err) => {
-    // Nobody is left to be told if standard output itself is broken; the process goes on serving.
+    // A failure of standard output cannot be reported anywhere; the process continues to serve.
     if (err !== null && err.code === 'EAGAIN') setTimeout(done, 10);
     else done();
   });
 }
 
 /**
- * Structured log lines: one JSON object each. Volume is bounded by event, and what waits for a slow
- * reader by size; what is left out is counted and told.
+ * Structured log: writes one JSON object per line. The rate of each event and the size of the
+ * buffer for a slow reader are limited; how many lines were left out is written in a later line.
  */
 export class EventLog {
   /** @internal */
-  private waiting: string[] = [];
+  private pending: string[] = [];
 
   /** @internal */
-  private waitingBytes = 0;
+  private pendingBytes = 0;
 
   /** @internal */
   private isWriting = false;
 
   /** @internal */
-  private dropped = 0;
+  private droppedLines = 0;
 
   /** @internal */
-  private readonly allowances = new Map<string, EventAllowance>();
+  private readonly rateLimits = new Map<string, EventRateLimit>();
 
   /**
-   * @param source - Name of the VM, in each line.
-   * @param parts - Where lines go, and what time it is.
+   * @param source - Name of the VM, written in each line.
+   * @param parts - Output and clocks.
    */
   constructor(
     private readonly source: string,
@@ -68,22 +72,25 @@
 
   /**
    * Writes a line.
-   * @param event - What happened, as `part.whatHappened`.
-   * @param fields - What was decided by, its age or version, and the outcome.
+   * @param event - Name of the event, as `part.whatHappened`.
+   * @param fields - Inputs of a decision, their age or version, and the outcome.
    * @example
-   * log.write('store.back', { awayMs: 4200 });
+   * log.write('store.back', { ageMs: 4200 });
    */
   write(event: string, fields: Readonly<Record<string, unknown>> = {}): void {
-    const leftOut = this.take(event);
-    if (leftOut === undefined) return;
+    const suppressed = this.takeToken(event);
+    if (suppressed === undefined) return;
     const line = { time: this.getTime(), vm: this.source, event, ...fields };
-    this.push(`${JSON.stringify(leftOut > 0 ? { ...line, leftOut } : line)}\n`);
+    this.enqueue(`${JSON.stringify(suppressed > 0 ? { ...line, leftOut: suppressed } : line)}\n`);
   }
 
-  /** Waits until all lines are written, no longer than `mostMs`. */
-  async flush(mostMs: number): Promise<void> {
-    const endsAt = this.parts.now() + mostMs;
-    while ((this.isWriting || this.waiting.length > 0) && this.parts.now() < endsAt) {
+  /**
+   * Waits until all lines are written.
+   * @param timeoutMs - Longest time to wait, in milliseconds.
+   */
+  async flush(timeoutMs: number): Promise<void> {
+    const deadline = this.parts.now() + timeoutMs;
+    while ((this.isWriting || this.pending.length > 0) && this.parts.now() < deadline) {
       await new Promise((resolve) => {
         setTimeout(resolve, 2);
       });
@@ -95,55 +102,63 @@
     return new Date(this.parts.wallNow()).toISOString();
   }
 
-  /** Lines of the event that were left out before this one; undefined if it is left out too. @internal */
-  private take(event: string): number | undefined {
+  /**
+   * Takes a token for a line of the event. Returns the number of lines suppressed before it, or
+   * undefined if this line is suppressed too.
+   * @internal
+   */
+  private takeToken(event: string): number | undefined {
     const now = this.parts.now();
-    const known = this.allowances.get(event) ?? { left: LINES_AT_ONCE, at: now, leftOut: 0 };
-    const gained = ((now - known.at) / 1_000) * LINES_PER_SECOND;
-    known.left = Math.min(LINES_AT_ONCE, known.left + gained);
-    known.at = now;
-    this.allowances.set(event, known);
-    if (known.left < 1) {
-      known.leftOut += 1;
+    const rateLimit = this.rateLimits.get(event) ?? {
+      tokens: EVENT_BURST_LINES,
+      refilledAt: now,
+      suppressed: 0,
+    };
+    const refill = ((now - rateLimit.refilledAt) / 1_000) * EVENT_LINES_PER_SECOND;
+    rateLimit.tokens = Math.min(EVENT_BURST_LINES, rateLimit.tokens + refill);
+    rateLimit.refilledAt = now;
+    this.rateLimits.set(event, rateLimit);
+    if (rateLimit.tokens < 1) {
+      rateLimit.suppressed += 1;
       return undefined;
     }
-    known.left -= 1;
-    const { leftOut } = known;
-    known.leftOut = 0;
-    return leftOut;
+    rateLimit.tokens -= 1;
+    const { suppressed } = rateLimit;
+    rateLimit.suppressed = 0;
+    return suppressed;
   }
 
   /** @internal */
-  private push(text: string): void {
-    if (this.waitingBytes + text.length > MOST_WAITING) {
-      this.dropped += 1;
+  private enqueue(text: string): void {
+    if (this.pendingBytes + text.length > MAX_PENDING_BYTES) {
+      this.droppedLines += 1;
       return;
     }
-    this.waiting.push(text);
-    this.waitingBytes += text.length;
-    if (!this.isWriting) this.writeNext();
+    this.pending.push(text);
+    this.pendingBytes += text.length;
+    if (!this.isWriting) this.writePending();
   }
 
   /** @internal */
-  private writeNext(): void {
-    if (this.waiting.length === 0) return;
-    if (this.dropped > 0) {
+  private writePending(): void {
+    if (this.pending.length === 0) return;
+    if (this.droppedLines > 0) {
       const line = {
         time: this.getTime(),
         vm: this.source,
         event: 'log.dropped',
-        lines: this.dropped,
+        lines: this.droppedLines,
       };
-      this.waiting.push(`${JSON.stringify(line)}\n`);
-      this.dropped = 0;
+      this.pending.push(`${JSON.stringify(line)}\n`);
+      this.droppedLines = 0;
     }
-    const text = this.waiting.join('');
-    this.waiting = [];
-    this.waitingBytes = 0;
+    const text = this.pending.join('');
+    this.pending = [];
+    this.pendingBytes = 0;
     this.isWriting = true;
     this.parts.write(text, () => {
       this.isWriting = false;
-      this.writeNext();
+      this.writePending();
     });
   }
 }
--- a/src/logging/Logger.ts
+++ b/src/logging/Logger.ts
@@ -1,27 +1,27 @@
-/** What a part of the process writes its log lines to. */
+/** Log for messages of the parts of a process. */
 export interface Logger {
   /**
-   * For a developer who looks into something.
-   * @param part - Prefix of the line: the part that speaks.
-   * @param text - A short sentence.
+   * Logs details for developers who investigate a problem.
+   * @param part - Part of the process that logs; the prefix of the line.
+   * @param text - The message, a short sentence.
    */
   debug(part: string, text: string): void;
   /**
-   * Something that an operator wants to know happened.
-   * @param part - Prefix of the line: the part that speaks.
-   * @param text - A short sentence.
+   * Logs an event that operators want to know about.
+   * @param part - Part of the process that logs; the prefix of the line.
+   * @param text - The message, a short sentence.
    */
   info(part: string, text: string): void;
   /**
-   * Something is wrong and the process copes with it.
-   * @param part - Prefix of the line: the part that speaks.
-   * @param text - A short sentence.
+   * Logs a problem that the process can handle itself.
+   * @param part - Part of the process that logs; the prefix of the line.
+   * @param text - The message, a short sentence.
    */
   warn(part: string, text: string): void;
   /**
-   * Something is wrong and an operator should look.
-   * @param part - Prefix of the line: the part that speaks.
-   * @param text - A short sentence.
+   * Logs a problem that needs the attention of an operator.
+   * @param part - Part of the process that logs; the prefix of the line.
+   * @param text - The message, a short sentence.
    */
   error(part: string, text: string): void;
 }
--- a/src/store/StoreCaller.ts
+++ b/src/store/StoreCaller.ts
@@ -1,7 +1,7 @@
 import type { StoreOp, StoreResult } from '../core/index.js';
 
-/** Makes calls to the platform's store. It never rejects: failures are results. */
+/** Calls the platform's store. The promise never rejects: failures are returned as results. */
 export interface StoreCaller {
-  /** @param op - The call. */
+  /** @param op - The operation to perform. */
   call(op: StoreOp): Promise<StoreResult>;
 }
--- a/src/store/StoreClient.ts
+++ b/src/store/StoreClient.ts
@@ -5,17 +5,17 @@
 import { readStoreAnswer } from './readStoreAnswer.js';
 import { writeStoreRequest } from './writeStoreRequest.js';
 
-/** Where the store is and how long to wait for it. */
+/** Address of the store and timeout of calls. */
 export interface StoreClientOptions {
   /** Base URL, such as `http://10.0.0.5:7000`. */
   readonly url: string;
-  /** How long a call may take, in milliseconds; a watch may take its own wait on top. */
+  /** Timeout of a call, in milliseconds; for a watch its `waitMs` is added. */
   readonly timeoutMs: number;
 }
 
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Errors that undici gives only before a byte of the request was written. */
+/** Error codes that undici returns only before any byte of the request was written. */
 const CONNECT_ERRORS = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -26,16 +26,16 @@
 function isConnectError(error: unknown): boolean {
   if (error instanceof StoreProtocolError) return false;
   const { code, syscall } = error as { code?: string; syscall?: string };
-  // A connection that was refused while connecting; the same code on a write proves nothing.
+  // Only an error while connecting proves that nothing was sent; on a write the same code does not.
   return code !== undefined && CONNECT_ERRORS.has(code) && (syscall ?? 'connect') === 'connect';
 }
 
-/** Reads and writes objects of the platform's store over HTTP. */
+/** HTTP client of the platform's store; reads and writes its objects. */
 export class StoreClient {
   /** @internal */
   private readonly pool: Pool;
 
-  /** @param options - Where the store is and how long to wait for it. */
+  /** @param options - Address of the store and timeout of calls. */
   constructor(private readonly options: StoreClientOptions) {
     this.pool = new Pool(options.url, {
       pipelining: 1,
@@ -46,9 +46,10 @@
   }
 
   /**
-   * Makes one call. It never throws: a call whose answer is lost may have taken effect, and the
-   * one who asked has to resolve that by reading back.
-   * @param op - What to do.
+   * Performs one operation. Never throws: a failure is returned as `unavailable` if the call
+   * certainly had no effect, else as `unknown`. A call whose answer was lost may have taken effect;
+   * the code that made it has to find out by reading the object.
+   * @param op - The operation.
    * @example
    * const result = await client.call({ op: 'get', key: 'config/root' });
    */
@@ -65,7 +66,7 @@
     }
   }
 
-  /** Ends all calls; those that are out come back as `unknown`. */
+  /** Closes the client; calls in progress return `unknown`. */
   async close(): Promise<void> {
     await this.pool.destroy();
   }
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -1,12 +1,12 @@
 import ModernError from 'modern-errors';
 
-/** The store answered something that isn't an answer of its protocol. */
+/** The store's answer violates its protocol. */
 export const StoreProtocolError = ModernError.subclass('StoreProtocolError');
 
 /**
- * Makes the error for an answer of the store that can't be read.
- * @param text - What is wrong with it.
+ * Creates the error for an answer of the store that cannot be read.
+ * @param problem - What is wrong with the answer; completes "the store answered …".
  */
-export function createStoreProtocolError(text: string): Error {
-  return new StoreProtocolError(`the store answered ${text}`);
+export function createStoreProtocolError(problem: string): Error {
+  return new StoreProtocolError(`the store answered ${problem}`);
 }
--- a/src/store/readStoreAnswer.ts
+++ b/src/store/readStoreAnswer.ts
@@ -5,17 +5,17 @@
 
 const DEFAULT_RETRY_AFTER_MS = 100;
 
-type Reader = (op: StoreOp, headers: IncomingHttpHeaders, text: string) => StoreResult;
+type AnswerReader = (op: StoreOp, headers: IncomingHttpHeaders, text: string) => StoreResult;
 
 function readVersion(value: unknown): StoreVersion {
   const version = (value as { version?: unknown } | null)?.version;
   if (typeof version === 'number' && Number.isSafeInteger(version) && version >= 0) return version;
-  throw createStoreProtocolError('without a version');
+  throw createStoreProtocolError('without a valid version');
 }
 
 function readEntry(value: unknown): StoreEntry {
   const { key, value: content } = value as { key?: unknown; value?: unknown };
-  if (typeof key !== 'string') throw createStoreProtocolError('without a key');
+  if (typeof key !== 'string') throw createStoreProtocolError('without a valid key');
   return { key, version: readVersion(value), value: content };
 }
 
@@ -32,7 +32,7 @@
   return { kind: 'found', entry: readEntry(value) };
 }
 
-const READERS = new Map<number, Reader>([
+const ANSWER_READERS = new Map<number, AnswerReader>([
   [200, readOk],
   [304, () => ({ kind: 'unchanged' })],
   [404, () => ({ kind: 'missing' })],
@@ -47,12 +47,14 @@
 ]);
 
 /**
- * What the store answered. Any other status is `unknown`: an error of the store's may come from a
- * part of it that didn't see that the call took effect.
- * @param op - The call that was made.
- * @param status - The HTTP status.
- * @param headers - The answer's headers.
- * @param text - The answer's body.
+ * Reads the store's answer to an operation. A status that the protocol does not define gives
+ * `unknown`: an error may come from a component of the store that did not see that the call took
+ * effect.
+ * @param op - The operation.
+ * @param status - HTTP status of the answer.
+ * @param headers - Headers of the answer.
+ * @param text - Body of the answer.
+ * @throws StoreProtocolError if the body lacks a required field.
  */
 export function readStoreAnswer(
   op: StoreOp,
@@ -60,5 +62,5 @@
   headers: IncomingHttpHeaders,
   text: string,
 ): StoreResult {
-  return READERS.get(status)?.(op, headers, text) ?? { kind: 'unknown' };
+  return ANSWER_READERS.get(status)?.(op, headers, text) ?? { kind: 'unknown' };
 }
--- a/src/store/writeStoreRequest.ts
+++ b/src/store/writeStoreRequest.ts
@@ -1,6 +1,6 @@
 import type { StoreOp } from '../core/index.js';
 
-/** A store call as an HTTP request. */
+/** The HTTP request for an operation of the store. */
 export interface StoreHttpRequest {
   readonly method: 'GET' | 'PUT' | 'DELETE';
   readonly path: string;
@@ -8,7 +8,7 @@
   readonly body?: string;
 }
 
-type Writers = {
+type RequestWriters = {
   readonly [K in StoreOp['op']]: (op: Extract<StoreOp, { op: K }>) => StoreHttpRequest;
 };
 
@@ -16,7 +16,7 @@
   return `/objects/${encodeURIComponent(key)}`;
 }
 
-const WRITERS: Writers = {
+const REQUEST_WRITERS: RequestWriters = {
   get: ({ key }) => ({ method: 'GET', path: getObjectPath(key) }),
   list: ({ prefix }) => ({ method: 'GET', path: `/objects?prefix=${encodeURIComponent(prefix)}` }),
   put: ({ key, value, expect }) => ({
@@ -37,11 +37,11 @@
 };
 
 /**
- * A store call as an HTTP request.
- * @param op - The call.
+ * Writes the HTTP request for an operation of the store.
+ * @param op - The operation.
  * @example
  * writeStoreRequest({ op: 'get', key: 'a/b' }).path; // '/objects/a%2Fb'
  */
 export function writeStoreRequest(op: StoreOp): StoreHttpRequest {
-  return WRITERS[op.op](op as never);
+  return REQUEST_WRITERS[op.op](op as never);
 }
--- a/src/tests/gateway/CallerSocket.ts
+++ b/src/tests/gateway/CallerSocket.ts
@@ -1,12 +1,12 @@
 import type { Socket } from 'node:net';
 
-/** Time that callers allow, in milliseconds: more than any test takes, also on a busy machine. */
+/** Time that callers allow, in milliseconds: longer than any test takes, even on a busy machine. */
 export const ALLOWED_MS = 30_000;
 
-/** A caller's connection, on which a test writes what it likes. */
+/** A caller's raw connection, to which a test can write arbitrary bytes. */
 export class CallerSocket {
-  /** All that came back so far. */
-  text = '';
+  /** Everything received so far. */
+  received = '';
 
   isEnded = false;
 
@@ -14,7 +14,7 @@
   constructor(readonly socket: Socket) {
     socket.setEncoding('latin1');
     socket.on('data', (data: string) => {
-      this.text += data;
+      this.received += data;
     });
     socket.on('error', () => {});
     socket.on('end', () => {
@@ -22,8 +22,8 @@
     });
   }
 
-  /** Sends requests one behind the other, in one piece. */
-  ask(...ids: readonly string[]): void {
+  /** Sends pipelined requests in a single write. */
+  sendRequests(...ids: readonly string[]): void {
     const heads = ids.map(
       (id) =>
         `GET /horaires/x HTTP/1.1\r\nHost: door.example\r\nX-Masticlink-Request-Id: ${id}\r\n` +
@@ -32,13 +32,13 @@
     this.socket.write(heads.join(''));
   }
 
-  /** Statuses of the answers so far, in their order. */
+  /** Statuses of the answers received so far, in order. */
   get statuses(): number[] {
-    return [...this.text.matchAll(/HTTP\/1\.1 (\d+) /g)].map(([, status]) => Number(status));
+    return [...this.received.matchAll(/HTTP\/1\.1 (\d+) /g)].map(([, status]) => Number(status));
   }
 
-  /** Ids of the requests that were answered by the target, in the order of the answers. */
-  get answered(): string[] {
-    return [...this.text.matchAll(/X-Masticlink-Request-Id: (\S+)/gi)].map(([, id]) => id);
+  /** Ids of the requests that the target answered, in the order of the answers. */
+  get answeredIds(): string[] {
+    return [...this.received.matchAll(/X-Masticlink-Request-Id: (\S+)/gi)].map(([, id]) => id);
   }
 }
--- a/src/tests/gateway/GatewayScene.ts
+++ b/src/tests/gateway/GatewayHarness.ts
@@ -18,29 +18,29 @@
 const SLOTS = 64;
 const LISTENERS = ['callers', 'readiness', 'addresses', 'peers', 'metrics'] as const;
 
-/** Small bounds, so that tests of them need few bytes. */
+/** Small limits, so that tests that exceed them need few bytes. */
 const LIMITS: CallerLimits = {
   bodyBytes: 4_096,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 10_000,
 };
 
-/** A gateway on loopback before a store and a target that holds each request until it is told. */
-export class GatewayScene {
-  /** Ids of requests that the target began to run, in that order. */
-  readonly runs: string[] = [];
+/** A gateway on loopback with a store, and a target that holds requests until they are released. */
+export class GatewayHarness {
+  /** Ids of the requests that the target has started, in that order. */
+  readonly startedIds: string[] = [];
 
-  /** Ids of requests that were withdrawn at the target. */
-  readonly withdrawn: string[] = [];
+  /** Ids of the requests whose connection to the target was closed before they were answered. */
+  readonly abortedIds: string[] = [];
 
-  /** Lines of the gateway's log. */
-  readonly lines: { readonly event: string; readonly id?: string }[] = [];
+  /** Lines that the gateway has logged. */
+  readonly logLines: { readonly event: string; readonly id?: string }[] = [];
 
-  /** Bytes of each answer's body. */
+  /** Size of each answer's body in bytes. */
   answerBytes = 4;
 
   /** @internal */
-  private readonly held = new Map<string, ServerResponse>();
+  private readonly heldAnswers = new Map<string, ServerResponse>();
 
   /** @internal */
   private stopped: Promise<void> | undefined;
@@ -53,17 +53,17 @@
     readonly gateway: GatewayProcess,
   ) {}
 
-  /** Starts all of it; resolves once the gateway serves. */
-  static async start(): Promise<GatewayScene> {
+  /** Starts store, target and gateway; resolves once the gateway is ready. */
+  static async start(): Promise<GatewayHarness> {
     const store = new PlatformStore();
     await store.start();
-    let scene: GatewayScene | undefined;
-    const target = createServer((req, res) => scene?.hold(req, res));
+    let harness: GatewayHarness | undefined;
+    const target = createServer((req, res) => harness?.holdRequest(req, res));
     await new Promise<void>((resolve) => {
       target.listen(0, '127.0.0.1', resolve);
     });
     const address = `127.0.0.1:${(target.address() as AddressInfo).port}`;
-    GatewayScene.configure(store, address);
+    GatewayHarness.configure(store, address);
     const ports = await findPorts(LISTENERS.length);
     const listen = LISTENERS.map((name, i) => `${name} = 127.0.0.1:${ports[i]}`).join('\n');
     const text =
@@ -71,7 +71,7 @@
       `[store]\naddress = ${store.address}\n[bounds]\nretry-slack = 60\ngrace = 4s\n`;
     const log = new EventLog('vm-1', {
       write: (lines, done) => {
-        for (const line of lines.trim().split('\n')) scene?.lines.push(JSON.parse(line));
+        for (const line of lines.trim().split('\n')) harness?.logLines.push(JSON.parse(line));
         done();
       },
       now: () => performance.now(),
@@ -84,17 +84,17 @@
       log,
       random: Math.random,
     });
-    scene = new GatewayScene(store, target, ports[0], gateway);
+    harness = new GatewayHarness(store, target, ports[0], gateway);
     await gateway.start();
     await until(() => gateway.isReady);
-    return scene;
+    return harness;
   }
 
   /** @internal */
   private static configure(store: PlatformStore, address: string): void {
     putConfiguration(store, {
       version: 1,
-      // No request is late, however long a test or the machine takes.
+      // Requests must not time out, however long a test takes on a busy machine.
       routes: [{ ...ROUTE, objectiveMs: ALLOWED_MS, timeoutMs: ALLOWED_MS }],
       services: [
         { name: 'horaires', healthPath: '/health', maxConnections: 220, coldRequestsPerSecond: 2 },
@@ -123,9 +123,9 @@
     return new CallerSocket(socket);
   }
 
-  /** Has the target answer a request. */
+  /** Lets the target answer a request. */
   release(id: string): void {
-    this.held
+    this.heldAnswers
       .get(id)
       ?.writeHead(200, {
         'X-Masticlink-Request-Id': id,
@@ -133,7 +133,7 @@
         'Content-Length': this.answerBytes,
       })
       .end('x'.repeat(this.answerBytes));
-    this.held.delete(id);
+    this.heldAnswers.delete(id);
   }
 
   /** Begins a planned stop of the gateway. */
@@ -141,22 +141,22 @@
     this.stopped = this.gateway.stop();
   }
 
-  /** Waits until so many requests run, or ran. */
-  async untilRuns(count: number): Promise<void> {
-    await until(() => this.runs.length >= count);
+  /** Waits until the target has started `count` requests. */
+  async waitForStarted(count: number): Promise<void> {
+    await until(() => this.startedIds.length >= count);
   }
 
-  /** Waits until something holds. */
-  readonly until = until;
+  /** Waits until a condition holds. */
+  readonly waitUntil = until;
 
-  /** Lets things happen that should not. */
+  /** Waits a while, so that anything that must not happen has the time to happen. */
   async pause(ms: number): Promise<void> {
     await new Promise((resolve) => {
       setTimeout(resolve, ms);
     });
   }
 
-  /** Ends all of it. */
+  /** Stops gateway, target and store. */
   async stop(): Promise<void> {
     await this.stopped;
     this.gateway.close();
@@ -166,19 +166,19 @@
   }
 
   /** @internal */
-  private hold(req: IncomingMessage, res: ServerResponse): void {
+  private holdRequest(req: IncomingMessage, res: ServerResponse): void {
     const id = String(req.headers['x-masticlink-request-id']);
-    res.setHeader('X-Masticlink-Server-Load', `${this.held.size},0,${SLOTS},100`);
+    res.setHeader('X-Masticlink-Server-Load', `${this.heldAnswers.size},0,${SLOTS},100`);
     res.setHeader('X-Masticlink-Instance-Id', TARGET);
     if (req.url === '/health') {
       res.end();
       return;
     }
     req.resume();
-    this.runs.push(id);
-    this.held.set(id, res);
+    this.startedIds.push(id);
+    this.heldAnswers.set(id, res);
     res.once('close', () => {
-      if (!res.writableFinished) this.withdrawn.push(id);
+      if (!res.writableFinished) this.abortedIds.push(id);
     });
   }
 }
--- a/src/tests/gateway/GatewayMetrics.test.ts
+++ b/src/tests/gateway/GatewayMetrics.test.ts
@@ -2,13 +2,13 @@
 
 import { GatewayMetrics } from '../../gateway/GatewayMetrics.js';
 
-test('metrics tell how targets stand, how old the view is, and what was counted before they were read', async (t) => {
+test('metrics include target standings, store age and counts from before the first scrape', async (t) => {
   const metrics = new GatewayMetrics({
-    getStoreCalls: () => new Map([['GET targets', 3]]),
-    getProbes: () => 7,
-    getTargets: () =>
+    getStoreCallCounts: () => new Map([['GET targets', 3]]),
+    getProbeCount: () => 7,
+    getTargetCounts: () =>
       new Map([['horaires', { draining: 1, zoneOut: 0, dead: 2, cold: 0, limited: 1, usable: 9 }]]),
-    getRollouts: () =>
+    getRolloutFigures: () =>
       new Map([
         [
           'horaires',
@@ -20,7 +20,7 @@
           },
         ],
       ]),
-    getCurves: () =>
+    getLearntCurves: () =>
       new Map([
         [
           'horaires',
@@ -33,29 +33,29 @@
         ],
       ]),
     getStoreAgeMs: () => 250,
-    getRequests: () => 4,
-    getFeedMessages: () => 32,
+    getOpenRequestCount: () => 4,
+    getFeedMessageCount: () => 32,
   });
-  metrics.note({
+  metrics.record({
     kind: 'log',
     event: 'request.answered',
     fields: { route: 'r-1', tookMs: 120 },
   });
-  metrics.note({ kind: 'log', event: 'request.refused', fields: { reason: 'overloaded' } });
+  metrics.record({ kind: 'log', event: 'request.refused', fields: { reason: 'overloaded' } });
   const { text } = await metrics.read();
   t.snapshot(text.split('\n').filter((line) => line !== '' && !line.startsWith('#')));
 });
 
-test('before the store’s first word its age is infinite, which an alarm on age notices', async (t) => {
+test('the store age is infinite before the first read, so that an alarm on it fires', async (t) => {
   const metrics = new GatewayMetrics({
-    getStoreCalls: () => new Map(),
-    getProbes: () => 0,
-    getTargets: () => new Map(),
-    getCurves: () => new Map(),
-    getRollouts: () => new Map(),
+    getStoreCallCounts: () => new Map(),
+    getProbeCount: () => 0,
+    getTargetCounts: () => new Map(),
+    getLearntCurves: () => new Map(),
+    getRolloutFigures: () => new Map(),
     getStoreAgeMs: () => Number.POSITIVE_INFINITY,
-    getRequests: () => 0,
-    getFeedMessages: () => 0,
+    getOpenRequestCount: () => 0,
+    getFeedMessageCount: () => 0,
   });
   const { text } = await metrics.read();
   t.regex(text, /^masticlink_gateway_store_age_seconds \+Inf$/m);
--- /dev/null
+++ b/src/tests/gateway/TargetRequest.test.ts
@@ -0,0 +1,212 @@
+import type { AddressInfo, Socket } from 'node:net';
+import { createServer } from 'node:net';
+
+import test from 'ava';
+
+import type { AttemptEnd } from '../../balancing/index.js';
+import { TargetAgent } from '../../gateway/TargetAgent.js';
+import type { TargetAnswer } from '../../gateway/TargetRequest.js';
+import { TargetRequest } from '../../gateway/TargetRequest.js';
+import { SystemClock } from '../../timing/index.js';
+
+interface Outcome {
+  readonly end: AttemptEnd;
+  readonly answer: TargetAnswer | undefined;
+}
+
+interface SendOptions {
+  readonly body?: Buffer;
+  readonly agent?: TargetAgent;
+}
+
+/** Sends one request to a target that handles each connection with `serve`. */
+async function sendRequest(
+  serve: (socket: Socket, request: string) => void,
+  { body, agent = new TargetAgent(4) }: SendOptions = {},
+): Promise<Outcome> {
+  const server = createServer((socket) => {
+    socket.on('error', () => {});
+    socket.on('data', (data) => serve(socket, data.toString('latin1')));
+  });
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
+  });
+  const { port } = server.address() as AddressInfo;
+  const outcome = await new Promise<Outcome>((resolve) => {
+    const targetRequest: TargetRequest = new TargetRequest({
+      agent,
+      clock: new SystemClock(),
+      to: { target: 't-1', bornAt: 0, address: `127.0.0.1:${port}` },
+      method: body === undefined ? 'GET' : 'POST',
+      path: '/horaires/',
+      headers: ['Host', 'door.example', 'X-Masticlink-Request-Id', 'r-1'],
+      body,
+      callerRequestId: 'r-1',
+      allowedMs: 5_000,
+      onEnd: (end) => resolve({ end, answer: targetRequest.answer }),
+    });
+  });
+  agent.destroy();
+  server.close();
+  return outcome;
+}
+
+const VALID_HEADERS = [
+  'X-Masticlink-Request-Id: r-1',
+  'X-Masticlink-Response-Signature: 1.2.3',
+  'X-Masticlink-Server-Load: 1,0,2,100',
+];
+
+function formatResponse(status: string, headers: readonly string[], body = ''): string {
+  return [`HTTP/1.1 ${status}`, ...headers, '', body].join('\r\n');
+}
+
+/** Blocks the event loop, so that everything received meanwhile is read at once. */
+function blockFor(ms: number): void {
+  const endsAt = Date.now() + ms;
+  while (Date.now() < endsAt);
+}
+
+test('a complete answer can be delivered', async (t) => {
+  const { end, answer } = await sendRequest((socket) =>
+    socket.write(formatResponse('200 OK', [...VALID_HEADERS, 'Content-Length: 4'], 'full')),
+  );
+  t.is(end.kind, 'answered');
+  t.is(answer?.body.toString(), 'full');
+  t.is(end.kind === 'answered' ? end.reading?.running : undefined, 1);
+});
+
+test('an answer without a length that ends with its connection is complete', async (t) => {
+  const { end, answer } = await sendRequest((socket) =>
+    socket.end(formatResponse('200 OK', VALID_HEADERS, 'all of it')),
+  );
+  t.is(end.kind, 'answered');
+  t.is(answer?.body.toString(), 'all of it');
+});
+
+test('an answer without a length is broken if a reset arrives with its last bytes', async (t) => {
+  // A target crashes while it sends an answer without a length. The reset arrives together with the
+  // last bytes, so the system reports an ordinary end, and the caller would receive a truncated
+  // answer that looks complete.
+  const { end, answer } = await sendRequest((socket) => {
+    socket.write(formatResponse('200 OK', VALID_HEADERS, 'half of'), () => {
+      socket.resetAndDestroy();
+      blockFor(20);
+    });
+  });
+  t.is(end.kind, 'broken');
+  t.is(answer, undefined);
+});
+
+test('an answer shorter than its declared length is broken', async (t) => {
+  // A target closes the connection in the middle of its answer. The caller must not receive the
+  // truncated answer as a complete one.
+  const { end } = await sendRequest((socket) =>
+    socket.end(formatResponse('200 OK', [...VALID_HEADERS, 'Content-Length: 10'], 'part')),
+  );
+  t.is(end.kind, 'broken');
+});
+
+test('a success without a signature is not accepted as an answer', async (t) => {
+  // A faulty target sends bytes that it did not sign. The caller would take them for the answer to
+  // its request.
+  const { end } = await sendRequest((socket) =>
+    socket.write(formatResponse('200 OK', [VALID_HEADERS[0], 'Content-Length: 4'], 'fake')),
+  );
+  t.is(end.kind, 'spoilt');
+});
+
+test('an answer to another request is not accepted', async (t) => {
+  // A second answer to an earlier request arrives late, in place of the answer to the next one. The
+  // caller would receive the answer to another caller's request.
+  const { end } = await sendRequest((socket) =>
+    socket.write(
+      formatResponse(
+        '200 OK',
+        ['X-Masticlink-Request-Id: r-0', VALID_HEADERS[1], 'Content-Length: 5'],
+        'other',
+      ),
+    ),
+  );
+  t.is(end.kind, 'spoilt');
+});
+
+test('an encoded answer is not accepted', async (t) => {
+  // Something between the target and this VM encoded the body although no encoding was requested.
+  // The caller could not read it.
+  const { end } = await sendRequest((socket) =>
+    socket.write(
+      formatResponse(
+        '200 OK',
+        [...VALID_HEADERS, 'Content-Encoding: gzip', 'Content-Length: 1'],
+        'x',
+      ),
+    ),
+  );
+  t.is(end.kind, 'spoilt');
+});
+
+test('a rejection by the target means that the request has not run', async (t) => {
+  const { end } = await sendRequest((socket) =>
+    socket.write(
+      formatResponse('503 Service Unavailable', [
+        'X-Masticlink-Not-Executed: 1',
+        'Content-Length: 0',
+      ]),
+    ),
+  );
+  t.is(end.kind, 'rejected');
+});
+
+test('a misdirected request has not run at the target that now has the address', async (t) => {
+  // A target ended and its address was reassigned to another one before this VM was informed.
+  const { end } = await sendRequest((socket) =>
+    socket.write(formatResponse('421 Misdirected Request', ['Content-Length: 0'])),
+  );
+  t.is(end.kind, 'misdirected');
+});
+
+test('a status that wrongly implies that the request has not run is not forwarded', async (t) => {
+  // A target answers 503 without confirming that it has not run the request. If this was forwarded,
+  // the caller would conclude that it may retry, and a booking would be made twice.
+  const { end, answer } = await sendRequest((socket) =>
+    socket.write(
+      formatResponse('503 Service Unavailable', [...VALID_HEADERS, 'Content-Length: 0']),
+    ),
+  );
+  t.deepEqual(end.kind === 'answered' ? end.status : undefined, 503);
+  t.is(answer?.status, 502);
+  t.deepEqual(answer?.headers, []);
+});
+
+test('a request counts as unsent if no connection was established', async (t) => {
+  const agent = new TargetAgent(4);
+  const end = await new Promise<AttemptEnd>((resolve) => {
+    const targetRequest = new TargetRequest({
+      agent,
+      clock: new SystemClock(),
+      to: { target: 't-1', bornAt: 0, address: '127.0.0.1:1' },
+      method: 'GET',
+      path: '/',
+      headers: [],
+      body: undefined,
+      callerRequestId: undefined,
+      allowedMs: 1_000,
+      onEnd: resolve,
+    });
+    t.truthy(targetRequest);
+  });
+  t.is(end.kind, 'unsent');
+});
+
+test('the headers added to a request name its only target and the remaining time', async (t) => {
+  let received = '';
+  await sendRequest(
+    (socket, request) => {
+      received = request;
+      socket.write(formatResponse('200 OK', [...VALID_HEADERS, 'Content-Length: 0']));
+    },
+    { body: Buffer.from('three') },
+  );
+  t.snapshot(received.replace(/127\.0\.0\.1:\d+/, 'ADDRESS'));
+});
--- a/src/tests/gateway/pipelining.test.ts
+++ b/src/tests/gateway/pipelining.test.ts
@@ -6,203 +6,204 @@
 import test from 'ava';
 
 import { CallerConnection } from '../../entry/api/CallerConnection.js';
-import { GatewayScene } from './GatewayScene.js';
+import { GatewayHarness } from './GatewayHarness.js';
 
-/** Requests of one connection that are at targets at a time. */
-const MOST_SERVED = 16;
+/** Requests of one connection that are at targets at the same time. */
+const MAX_SERVED = 16;
 
-async function startScene(t: ExecutionContext): Promise<GatewayScene> {
-  const scene = await GatewayScene.start();
-  t.teardown(() => scene.stop());
-  return scene;
+async function startHarness(t: ExecutionContext): Promise<GatewayHarness> {
+  const harness = await GatewayHarness.start();
+  t.teardown(() => harness.stop());
+  return harness;
 }
 
-function countRuns({ runs }: GatewayScene): number {
+function countStarted({ startedIds: runs }: GatewayHarness): number {
   return new Set(runs).size;
 }
 
-test('a slow first request holds back neither the next one nor its log line', async (t) => {
-  // A caller sends two requests at once, and the first takes long. The second must run meanwhile, and
-  // the log must tell its end when it is known, though its caller gets it after the first.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a', 'b');
-  await scene.untilRuns(2);
-  scene.release('b');
-  await scene.until(() =>
-    scene.lines.some(({ event, id }) => event === 'request.answered' && id === 'b'),
+test('a slow first request delays neither the next one nor its log line', async (t) => {
+  // A caller sends two requests at once, and the first one is slow. The second must run meanwhile
+  // and be logged as soon as it is answered, although its answer is sent only after the first
+  // one's.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a', 'b');
+  await harness.waitForStarted(2);
+  harness.release('b');
+  await harness.waitUntil(() =>
+    harness.logLines.some(({ event, id }) => event === 'request.answered' && id === 'b'),
   );
   t.deepEqual(caller.statuses, []);
-  scene.release('a');
-  await scene.until(() => caller.statuses.length === 2);
-  t.deepEqual(caller.answered, ['a', 'b']);
+  harness.release('a');
+  await harness.waitUntil(() => caller.statuses.length === 2);
+  t.deepEqual(caller.answeredIds, ['a', 'b']);
 });
 
-test('a planned stop closes a connection with the last answer that is owed on it', async (t) => {
-  // An operator replaces an entry VM while two requests of one caller run. Closed with the first
-  // answer, the second would have run for nobody, and its caller would send it again.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a', 'b');
-  await scene.untilRuns(2);
-  scene.beginStop();
-  scene.release('a');
-  await scene.until(() => caller.statuses.length === 1);
-  t.notRegex(caller.text, /connection: close/i);
-  scene.release('b');
-  await scene.until(() => caller.isEnded);
-  t.deepEqual(caller.answered, ['a', 'b']);
-  t.regex(caller.text, /connection: close/i);
+test('a planned stop closes a connection with the last pending answer', async (t) => {
+  // An operator replaces an entry VM while two requests of one connection run. If the connection
+  // was closed with the first answer, the second answer would be lost and its request sent again.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a', 'b');
+  await harness.waitForStarted(2);
+  harness.beginStop();
+  harness.release('a');
+  await harness.waitUntil(() => caller.statuses.length === 1);
+  t.notRegex(caller.received, /connection: close/i);
+  harness.release('b');
+  await harness.waitUntil(() => caller.isEnded);
+  t.deepEqual(caller.answeredIds, ['a', 'b']);
+  t.regex(caller.received, /connection: close/i);
 });
 
-test('what stands behind an answer that closes the connection goes to no target', async (t) => {
-  // The caller takes such a request for not read and sends it again, whatever its kind. Passed on all
-  // the same, a booking would be made twice.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a');
-  await scene.untilRuns(1);
-  scene.beginStop();
-  caller.ask('b', 'c');
-  await scene.pause(200);
-  scene.release('a');
-  scene.release('b');
-  await scene.until(() => caller.isEnded);
-  t.deepEqual(scene.runs, ['a']);
-  t.deepEqual(caller.answered, ['a']);
+test('requests after an answer that closes the connection are not sent to a target', async (t) => {
+  // The caller assumes that such a request was not read and sends it again, whatever its method. If
+  // it was forwarded as well, a booking would be made twice.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a');
+  await harness.waitForStarted(1);
+  harness.beginStop();
+  caller.sendRequests('b', 'c');
+  await harness.pause(200);
+  harness.release('a');
+  harness.release('b');
+  await harness.waitUntil(() => caller.isEnded);
+  t.deepEqual(harness.startedIds, ['a']);
+  t.deepEqual(caller.answeredIds, ['a']);
 });
 
-test('a request during a stop is served, and what stands behind it is not', async (t) => {
-  // A caller that does not know of the stop yet sends two requests into an idle connection.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  scene.beginStop();
-  caller.ask('a', 'b');
-  await scene.untilRuns(1);
-  await scene.pause(100);
-  scene.release('a');
-  await scene.until(() => caller.isEnded);
-  t.deepEqual(scene.runs, ['a']);
+test('during a stop an idle connection serves one more request and none after it', async (t) => {
+  // A caller that does not know of the stop yet sends two requests on an idle connection.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  harness.beginStop();
+  caller.sendRequests('a', 'b');
+  await harness.waitForStarted(1);
+  await harness.pause(100);
+  harness.release('a');
+  await harness.waitUntil(() => caller.isEnded);
+  t.deepEqual(harness.startedIds, ['a']);
   t.deepEqual(caller.statuses, [200]);
 });
 
-test('a head that is none is refused after the requests before it are answered', async (t) => {
-  // A caller's second request is damaged. The connection ended at once, and with it the answer to the
-  // first, at which a target was at work.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a');
-  await scene.untilRuns(1);
+test('a malformed head is refused after the requests before it are answered', async (t) => {
+  // A caller's second request is malformed. If the connection was closed at once, the answer to the
+  // first request, which a target is still processing, would be lost.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a');
+  await harness.waitForStarted(1);
   caller.socket.write('BROKEN\r\n\r\n');
-  await scene.pause(100);
-  scene.release('a');
-  await scene.until(() => caller.isEnded);
+  await harness.pause(100);
+  harness.release('a');
+  await harness.waitUntil(() => caller.isEnded);
   t.deepEqual(caller.statuses, [200, 400]);
 });
 
-test('a body that breaks off is refused after the requests before it are answered', async (t) => {
-  // The second request's body is not in the form that its head says.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a');
-  await scene.untilRuns(1);
+test('a malformed body is refused after the requests before it are answered', async (t) => {
+  // The second request's body does not have the encoding that its head declares.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a');
+  await harness.waitForStarted(1);
   caller.socket.write(
     'POST /horaires/x HTTP/1.1\r\nHost: door.example\r\nTransfer-Encoding: chunked\r\n\r\nnot hex\r\n',
   );
-  await scene.pause(100);
-  scene.release('a');
-  await scene.until(() => caller.isEnded);
+  await harness.pause(100);
+  harness.release('a');
+  await harness.waitUntil(() => caller.isEnded);
   t.deepEqual(caller.statuses, [200, 400]);
-  t.deepEqual(scene.runs, ['a']);
+  t.deepEqual(harness.startedIds, ['a']);
 });
 
-test('a body that is too large does not cut the answer before it', async (t) => {
-  // The rest of a refused body is read for two seconds; then the connection ended, although the
-  // first request's answer was still to come.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a');
-  await scene.untilRuns(1);
+test('a body that is too large does not cut off the answer before it', async (t) => {
+  // The rest of a refused body is read for two seconds. If the connection was closed then, the
+  // answer to the first request, which takes longer, would be lost.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a');
+  await harness.waitForStarted(1);
   caller.socket.write(
     `POST /horaires/x HTTP/1.1\r\nHost: door.example\r\nContent-Length: 9000\r\n\r\n${'x'.repeat(5_000)}`,
   );
-  await scene.pause(2_300);
-  scene.release('a');
-  await scene.until(() => caller.statuses.length === 2);
+  await harness.pause(2_300);
+  harness.release('a');
+  await harness.waitUntil(() => caller.statuses.length === 2);
   t.deepEqual(caller.statuses, [200, 413]);
 });
 
-test('a caller that resets withdraws all of its requests', async (t) => {
-  // A caller sends three requests and goes away. Only the first was withdrawn at its target; the
-  // others kept their slots until their time was over, while nobody waited for them.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  caller.ask('a', 'b', 'c');
-  await scene.untilRuns(3);
+test('a reset by the caller cancels all of its requests', async (t) => {
+  // A caller sends three requests and disconnects. If only the first was cancelled at its target,
+  // the others would occupy slots until they time out, although nobody waits for them.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  caller.sendRequests('a', 'b', 'c');
+  await harness.waitForStarted(3);
   caller.socket.resetAndDestroy();
-  await scene.until(() => scene.withdrawn.length === 3);
-  t.deepEqual([...scene.withdrawn].sort(), ['a', 'b', 'c']);
-  t.is(scene.gateway.state.journeys.size, 0);
+  await harness.waitUntil(() => harness.abortedIds.length === 3);
+  t.deepEqual([...harness.abortedIds].sort(), ['a', 'b', 'c']);
+  t.is(harness.gateway.state.journeys.size, 0);
 });
 
-test('one connection has a bounded number of requests at targets', async (t) => {
-  // A caller that sends thousands of requests at once must not take all slots and all memory.
-  const scene = await startScene(t);
-  const caller = await scene.connect();
-  const ids = Array.from({ length: 3 * MOST_SERVED }, (_, i) => `r-${i}`);
-  caller.ask(...ids);
-  await scene.untilRuns(MOST_SERVED);
-  await scene.pause(200);
-  t.is(countRuns(scene), MOST_SERVED);
+test('the number of requests that one connection has at targets is limited', async (t) => {
+  // A caller that sends thousands of requests at once must not occupy all slots and all memory.
+  const harness = await startHarness(t);
+  const caller = await harness.connect();
+  const ids = Array.from({ length: 3 * MAX_SERVED }, (_, i) => `r-${i}`);
+  caller.sendRequests(...ids);
+  await harness.waitForStarted(MAX_SERVED);
+  await harness.pause(200);
+  t.is(countStarted(harness), MAX_SERVED);
   let ended = 0;
   while (ended < ids.length) {
-    await scene.untilRuns(ended + 1);
-    scene.release(scene.runs[ended]);
+    await harness.waitForStarted(ended + 1);
+    harness.release(harness.startedIds[ended]);
     ended += 1;
   }
-  await scene.until(() => caller.statuses.length === ids.length);
-  t.deepEqual(caller.answered, ids);
+  await harness.waitUntil(() => caller.statuses.length === ids.length);
+  t.deepEqual(caller.answeredIds, ids);
 });
 
-test('a request that waited for room on its connection has that much less time', (t) => {
-  // The seventeenth request of a connection waits until one before it is answered. Its target would
-  // else be given time that its caller no longer waits.
+test('the time that a request was queued on its connection is deducted from its timeout', (t) => {
+  // The seventeenth request of a connection is queued until an earlier one is answered. Otherwise
+  // its target would be granted time that the caller no longer waits.
   const held: number[] = [];
   const socket = Object.assign(new EventEmitter(), { pause() {}, resume() {} });
   const connection = new CallerConnection(socket as unknown as Socket);
-  const answers = Array.from({ length: MOST_SERVED + 1 }, () =>
+  const answers = Array.from({ length: MAX_SERVED + 1 }, () =>
     Object.assign(new EventEmitter(), { shouldKeepAlive: true, writableLength: 0 }),
   );
   for (const res of answers) {
     connection.take(res as unknown as ServerResponse, false, (heldMs) => held.push(heldMs));
   }
-  t.is(held.length, MOST_SERVED);
+  t.is(held.length, MAX_SERVED);
   const until = performance.now() + 20;
   while (performance.now() < until);
   answers[0].emit('close');
-  t.is(held.length, MOST_SERVED + 1);
-  t.true(held[MOST_SERVED] >= 20);
+  t.is(held.length, MAX_SERVED + 1);
+  t.true(held[MAX_SERVED] >= 20);
 });
 
-test('answers that wait for their turn stop the reading at a bound', async (t) => {
-  // The first of many requests hangs while the others are answered with 60 KB each. Without a bound
-  // a few such connections fill the memory of a small VM.
-  const scene = await startScene(t);
-  scene.answerBytes = 60_000;
-  const caller = await scene.connect();
+test('reading from a connection stops when its buffered answers reach a limit', async (t) => {
+  // The first of many requests hangs while the others are answered with 60 KB each. Without a limit
+  // a few such connections would fill the memory of a small VM.
+  const harness = await startHarness(t);
+  harness.answerBytes = 60_000;
+  const caller = await harness.connect();
   const first = ['r-0', 'r-1', 'r-2', 'r-3', 'r-4', 'r-5'];
-  caller.ask(...first);
-  await scene.untilRuns(first.length);
-  for (const id of first.slice(1)) scene.release(id);
-  await scene.pause(200);
+  caller.sendRequests(...first);
+  await harness.waitForStarted(first.length);
+  for (const id of first.slice(1)) harness.release(id);
+  await harness.pause(200);
   const later = ['r-6', 'r-7', 'r-8'];
-  caller.ask(...later);
-  await scene.pause(200);
-  t.is(countRuns(scene), first.length);
+  caller.sendRequests(...later);
+  await harness.pause(200);
+  t.is(countStarted(harness), first.length);
   t.deepEqual(caller.statuses, []);
-  scene.release('r-0');
-  await scene.untilRuns(first.length + later.length);
-  for (const id of later) scene.release(id);
-  await scene.until(() => caller.statuses.length === first.length + later.length);
-  t.deepEqual(caller.answered, [...first, ...later]);
+  harness.release('r-0');
+  await harness.waitForStarted(first.length + later.length);
+  for (const id of later) harness.release(id);
+  await harness.waitUntil(() => caller.statuses.length === first.length + later.length);
+  t.deepEqual(caller.answeredIds, [...first, ...later]);
 });
--- a/src/tests/logging/ConsolaLogger.test.ts
+++ b/src/tests/logging/ConsolaLogger.test.ts
@@ -3,7 +3,7 @@
 import type { ConsolaLoggerOptions } from '../../logging/index.js';
 import { ConsolaLogger } from '../../logging/index.js';
 
-function getLines(options: Partial<ConsolaLoggerOptions>, isTTY: boolean): string[] {
+function writeSampleLines(options: Partial<ConsolaLoggerOptions>, isTTY: boolean): string[] {
   const lines: string[] = [];
   const stream = { isTTY, write: (text: string) => lines.push(text) };
   const logger = new ConsolaLogger({ level: 'info', format: 'auto', ...options, stream });
@@ -18,9 +18,9 @@
 }
 
 test('lines are text on a terminal and JSON elsewhere', (t) => {
-  t.snapshot(getLines({}, true));
-  t.snapshot(getLines({ source: 'vm1#1' }, false));
-  t.deepEqual(getLines({ format: 'text', level: 'error' }, false), [
+  t.snapshot(writeSampleLines({}, true));
+  t.snapshot(writeSampleLines({ source: 'vm1#1' }, false));
+  t.deepEqual(writeSampleLines({ format: 'text', level: 'error' }, false), [
     'TIME entry    ERROR: cannot listen\n',
   ]);
 });
--- a/src/tests/store/StoreClient.test.ts
+++ b/src/tests/store/StoreClient.test.ts
@@ -7,7 +7,7 @@
 const PUT: StoreOp = { op: 'put', key: 'fleet/assignment', value: { epoch: 1 }, expect: 0 };
 const GET: StoreOp = { op: 'get', key: 'fleet/assignment' };
 
-test('each kind of call and answer crosses the wire', async (t) => {
+test('every kind of call and answer is transferred correctly', async (t) => {
   const store = await startStoreServer({ model: { answerMs: 0 } });
   const client = new StoreClient({ url: `http://${store.address}`, timeoutMs: 1_000 });
   t.teardown(async () => {
@@ -32,9 +32,9 @@
   });
 });
 
-test('a write whose answer is lost is unknown, and only a refused connection is without effect', async (t) => {
-  // The store takes a lease write and the answer never comes. A client that took this for a failed
-  // write would give up a lease that it holds, or write the same epoch twice.
+test('a write whose answer is lost is unknown, a refused connection is unavailable', async (t) => {
+  // The store applies the write of a lease, but its answer is lost. A client that took this for a
+  // failed write would give up a lease that it holds, or write the same epoch twice.
   const store = await startStoreServer({ model: { answerMs: 0 } });
   const client = new StoreClient({ url: `http://${store.address}`, timeoutMs: 100 });
   t.teardown(() => client.close());
@@ -45,8 +45,9 @@
   store.model.faults.down = 'hanging';
   t.deepEqual(await client.call(GET), { kind: 'unknown' });
   await store.stop();
-  // The first client may hold a connection that the store has just closed; what it sends there may
-  // have arrived, so that it rightly says `unknown`. A client without one is refused for certain.
+  // The first client may still have a connection that the store has just closed. A call sent on it
+  // may have arrived, so `unknown` would be correct. A client without a connection is always
+  // refused.
   const fresh = new StoreClient({ url: `http://${store.address}`, timeoutMs: 10_000 });
   t.teardown(() => fresh.close());
   t.deepEqual(await fresh.call(GET), { kind: 'unavailable' });
--- a/src/tests/timing/TimerService.test.ts
+++ b/src/tests/timing/TimerService.test.ts
@@ -3,9 +3,9 @@
 import type { Clock } from '../../timing/index.js';
 import { TimerService } from '../../timing/index.js';
 
-/** A clock that counts how often it woke its user. */
+/** A clock that counts how often a timer fired. */
 class CountingClock implements Clock {
-  wakes = 0;
+  wakeUps = 0;
 
   private time = 0;
 
@@ -27,7 +27,7 @@
       const { at, action } = this.next;
       this.time = at;
       this.next = undefined;
-      this.wakes += 1;
+      this.wakeUps += 1;
       action();
     }
   }
@@ -46,8 +46,8 @@
   clock.runUntil(1_000);
   t.is(calls.fast, 200);
   t.is(calls.slow, 18);
-  t.is(clock.wakes, 200);
+  t.is(clock.wakeUps, 200);
   timers.stop();
   clock.runUntil(2_000);
-  t.is(clock.wakes, 200);
+  t.is(clock.wakeUps, 200);
 });
--- a/src/timing/Clock.ts
+++ b/src/timing/Clock.ts
@@ -1,14 +1,15 @@
-/** Takes a planned call back; without effect once it was made. */
+/** Cancels a scheduled call; does nothing if the call has already been made. */
 export type CancelTimer = () => void;
 
-/** Time as a part sees it: the system's own, or a virtual one in tests. */
+/** Source of time and timers: the system clock, or a virtual clock in tests. */
 export interface Clock {
-  /** Monotonic milliseconds. */
+  /** Current time in monotonic milliseconds. */
   now(): number;
   /**
-   * Calls `action` once.
-   * @param delayMs - Milliseconds from now.
-   * @param action - What to do then.
+   * Calls `action` once after a delay.
+   * @param delayMs - Delay in milliseconds.
+   * @param action - Function to call.
+   * @returns Cancels the call.
    */
   after(delayMs: number, action: () => void): CancelTimer;
 }
--- a/src/timing/SystemClock.ts
+++ b/src/timing/SystemClock.ts
@@ -2,7 +2,7 @@
 
 import type { CancelTimer, Clock } from './Clock.js';
 
-/** The process's own monotonic clock. */
+/** The monotonic clock and the timers of the process. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
--- a/src/timing/TimerService.ts
+++ b/src/timing/TimerService.ts
@@ -6,12 +6,12 @@
   dueAt: number;
 }
 
-/** Clocks that count whole milliseconds call up to one too early. */
-const TOLERANCE_MS = 1;
+/** Clocks that count whole milliseconds may fire up to one millisecond too early. */
+const EARLY_FIRE_TOLERANCE_MS = 1;
 
 /**
- * Calls its subscribers again and again until it is stopped. All share one timer of the clock:
- * each time that a process is woken costs more than most of what it then has to do.
+ * Calls its subscribers periodically until it is stopped. All subscriptions share one timer of the
+ * clock, because waking the process usually costs more than the work that is then due.
  */
 export class TimerService {
   /** @internal */
@@ -21,58 +21,58 @@
   private cancel: CancelTimer | undefined;
 
   /** @internal */
-  private stopped = false;
+  private isStopped = false;
 
   /**
-   * @param clock - Time to go by.
-   * @param getMinGapMs - The least time between two calls of the clock, in milliseconds; calls that
-   * fall due in between come together, late by no more than that.
+   * @param clock - Clock that runs the timer.
+   * @param getMinIntervalMs - Minimum time between two wake-ups, in milliseconds. Calls that fall
+   *   due in between are made together, late by at most that time.
    */
   constructor(
     private readonly clock: Clock,
-    private readonly getMinGapMs: () => number = () => 0,
+    private readonly getMinIntervalMs: () => number = () => 0,
   ) {}
 
   /**
-   * Calls `action` every `periodMs` from now on. A late call does not make up for lost ones.
-   * @param periodMs - Milliseconds between the end of a call and the next.
-   * @param action - What to do.
+   * Calls `action` every `periodMs` from now on. Missed calls are not made up for.
+   * @param periodMs - Milliseconds from one call to the next, counted from when a call is made.
+   * @param action - Function to call.
    * @example
    * timers.subscribe(200, () => dispatch({ kind: 'jobDue', job: 'heartbeat' }));
    */
   subscribe(periodMs: number, action: () => void): void {
-    if (this.stopped) return;
+    if (this.isStopped) return;
     this.subscriptions.push({ periodMs, action, dueAt: this.clock.now() + periodMs });
-    this.arm();
+    this.scheduleNext();
   }
 
-  /** Ends all subscriptions. */
+  /** Cancels all subscriptions; no further ones are accepted. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.cancel?.();
     this.subscriptions.length = 0;
   }
 
   /** @internal */
-  private arm(): void {
+  private scheduleNext(): void {
     this.cancel?.();
-    if (this.stopped || this.subscriptions.length === 0) return;
+    if (this.isStopped || this.subscriptions.length === 0) return;
     const earliest = Math.min(...this.subscriptions.map(({ dueAt }) => dueAt));
-    const delayMs = Math.max(earliest - this.clock.now(), this.getMinGapMs());
-    this.cancel = this.clock.after(delayMs, () => this.callDue());
+    const delayMs = Math.max(earliest - this.clock.now(), this.getMinIntervalMs());
+    this.cancel = this.clock.after(delayMs, () => this.runDue());
   }
 
   /** @internal */
-  private callDue(): void {
+  private runDue(): void {
     const now = this.clock.now();
     try {
       for (const subscription of [...this.subscriptions]) {
-        if (this.stopped || subscription.dueAt > now + TOLERANCE_MS) continue;
+        if (this.isStopped || subscription.dueAt > now + EARLY_FIRE_TOLERANCE_MS) continue;
         subscription.dueAt = this.clock.now() + subscription.periodMs;
         subscription.action();
       }
     } finally {
-      this.arm();
+      this.scheduleNext();
     }
   }
 }
--- a/src/timing/sleep.ts
+++ b/src/timing/sleep.ts
@@ -1,9 +1,9 @@
 import type { Clock } from './Clock.js';
 
 /**
- * Resolves after some time.
- * @param clock - Time to go by.
- * @param ms - How long, in milliseconds.
+ * Resolves after a delay.
+ * @param clock - Clock that runs the timer.
+ * @param ms - Delay in milliseconds.
  * @example
  * await sleep(clock, 250);
  */
--- a/src/vms/errors.ts
+++ b/src/vms/errors.ts
@@ -4,10 +4,10 @@
 export const VmListError = ModernError.subclass('VmListError');
 
 /**
- * Makes the error for a list that can't be had whole.
- * @param text - What is wrong with it.
- * @param cause - The error below, if there is one.
+ * Creates the error for a list that cannot be read completely.
+ * @param problem - What is wrong with the list; completes "the VM list …".
+ * @param cause - The underlying error, if there is one.
  */
-export function createVmListError(text: string, cause?: unknown): Error {
-  return new VmListError(`the VM list ${text}`, cause === undefined ? {} : { cause });
+export function createVmListError(problem: string, cause?: unknown): Error {
+  return new VmListError(`the VM list ${problem}`, cause === undefined ? {} : { cause });
 }
