--- a/src/core/addresses/getAddresses.ts
+++ b/src/core/addresses/getAddresses.ts
@@ -45,7 +45,7 @@
 
 /** What a member's targets bear now where that is known, or else what they are declared to. */
 function getWeights(state: EntryState, service: ServiceName): Map<string, number> {
-  const beliefs = state.requests.traffic.get(service)?.beliefs;
+  const beliefs = state.requests.traffic.get(service)?.peerEstimates;
   const weights = new Map<string, number>();
   for (const { member, slots } of getServiceHolders(state, service)) {
     const limit = beliefs?.get(member.id)?.limit ?? slots;
--- a/src/core/index.ts
+++ b/src/core/index.ts
@@ -15,5 +15,5 @@
 export { getServiceSpare } from './requests/index.js';
 export { DEFAULT_CORE_SETTINGS } from './settings.js';
 export type { CoreSettings } from './settings.js';
-export { maySendTo } from './targets/index.js';
+export { canSendTo } from './targets/index.js';
 export { VERSION } from './version.js';
--- a/src/core/requests/RequestsState.ts
+++ b/src/core/requests/RequestsState.ts
@@ -8,68 +8,68 @@
   ServiceName,
   TargetId,
 } from '../model/index.js';
-import type { HoldersCache } from './holders.js';
+import type { HolderCache } from './holders.js';
 import type { ServiceTraffic } from './ServiceTraffic.js';
 
-/** Where a request is on its way from its arrival to its answer. */
+/** Stage of a request between its arrival and the end of its answer. */
 export type RequestStage = 'claiming' | 'queued' | 'waitingAlone' | 'sent' | 'relaying' | 'closed';
 
-/** A request from its arrival to its answer. */
+/** State of one request, from its arrival until it is closed. */
 export interface RequestRecord {
   readonly id: RequestId;
   readonly arrived: RequestArrived;
   readonly service: ServiceConfig;
   readonly deadlineAt: number;
-  /** Whether running it twice does no harm. */
+  /** Whether its method is idempotent for the service, so that it may run more than once. */
   readonly isRepeatable: boolean;
-  /** Sendings whose outcome is open. */
+  /** Attempts that have neither ended nor been refused. */
   readonly attempts: Set<AttemptId>;
   stage: RequestStage;
-  /** The attempt whose answer goes to the caller, once one does. */
-  relayed?: AttemptId;
-  /** A sending ended of which it isn't certain that it did not run. */
-  mayHaveRun: boolean;
-  /** A sending ended after which a request that must not run twice is not sent again. */
+  /** Attempt whose answer is relayed to the caller; undefined until an answer was chosen. */
+  relayedAttempt?: AttemptId;
+  /** Whether an attempt ended without proof that the request did not run. */
+  hasPossiblyRun: boolean;
+  /** Whether an attempt ended so that the request may only be resent if it is repeatable. */
   isResendBarred: boolean;
   readonly triedTargets: TargetId[];
   readonly triedPeers: EntryVmId[];
-  /** Times that whoever held the request was lost. */
-  losses: number;
+  /** Number of times that it was resent because its target or peer was lost. */
+  lostAttempts: number;
   isHedged: boolean;
-  /** Its key was recorded for it, and the record's end has not been told. */
-  holdsKey: boolean;
-  /** When a peer that refused it would have it back, in milliseconds from then. */
+  /** Whether its key is claimed and the keys part has not been told yet how the request ended. */
+  hasClaimedKey: boolean;
+  /** Retry delay that the last refusing peer gave with its refusal, in milliseconds. */
   peerRetryAfterMs?: number;
 }
 
-/** One sending of a request. */
+/** One attempt to send a request to a target or peer. */
 export interface AttemptRecord {
   readonly owner: RequestRecord;
   readonly to: Destination;
   readonly startedAt: number;
   isAnswered: boolean;
   /**
-   * Set once its outcome no longer matters: `refused` if it certainly did not run, `dropped` if
-   * another attempt answered first or the caller left.
+   * Set once its answer can no longer be relayed: `refused` if the request certainly did not run
+   * there, `dropped` if another attempt answered first or the request was closed.
    */
-  settled?: 'refused' | 'dropped';
+  closedAs?: 'refused' | 'dropped';
 }
 
-/** Requests that are in this process. */
+/** State of the requests in this process. */
 export interface RequestsState {
   nextAttempt: AttemptId;
   readonly requests: Map<RequestId, RequestRecord>;
   readonly attempts: Map<AttemptId, AttemptRecord>;
   readonly traffic: Map<ServiceName, ServiceTraffic>;
-  readonly holders: HoldersCache;
+  readonly holders: HolderCache;
   /** Time of the last event that this part handled; monotonic milliseconds. */
-  seenAt: number;
-  /** Messages about spare slots that may be sent now, and when that was reckoned. */
-  spareMessages: number;
-  spareMessagesAt: number;
+  lastEventAt: number;
+  /** Token bucket for messages about spare slots: tokens left, and when it was last refilled. */
+  spareMessageTokens: number;
+  spareTokensRefilledAt: number;
 }
 
-/** Makes the state of a process without requests. */
+/** Creates the state of a process without requests. */
 export function createRequestsState(): RequestsState {
   return {
     nextAttempt: 1,
@@ -77,8 +77,8 @@
     attempts: new Map(),
     traffic: new Map(),
     holders: new Map(),
-    seenAt: 0,
-    spareMessages: 0,
-    spareMessagesAt: 0,
+    lastEventAt: 0,
+    spareMessageTokens: 0,
+    spareTokensRefilledAt: 0,
   };
 }
--- a/src/core/requests/ServiceTraffic.ts
+++ b/src/core/requests/ServiceTraffic.ts
@@ -3,50 +3,50 @@
 import type { RequestRecord } from './RequestsState.js';
 import { ServiceQueue } from './ServiceQueue.js';
 
-/** What this process believes of a service at a peer. */
-export interface PeerBelief {
-  /** Free slots, as last heard, less what was forwarded since. */
+/** What this process last knew of a service at a peer, and its own forwards to that peer. */
+export interface PeerEstimate {
+  /** Free slots as last reported, minus the requests forwarded since. */
   slots: number;
   queued: number;
   limit?: number;
-  heardAt: number;
-  /** Forwards in a row that the peer refused. */
+  updatedAt: number;
+  /** Consecutive forwards that the peer refused; reset when it reports free slots. */
   refusals: number;
-  /** Forwards to it that have not ended. */
+  /** Forwards to the peer that have not ended. */
   inFlight: number;
-  /** Last time that it said anything, or that the first of those in flight was sent. */
+  /** When the peer last reported on the service or, if later, the first open forward was sent. */
   silentSince: number;
-  /** No connection came about; not tried before this time. */
+  /** After a failed connection the peer is not tried before this time; monotonic milliseconds. */
   unreachableUntil: number;
 }
 
-/** A peer that has requests waiting and would forward some. */
-export interface Waiter {
+/** A peer that has requests waiting and could forward some of them here. */
+export interface QueuedPeer {
   queued: number;
-  readonly since: number;
+  readonly firstReportedAt: number;
 }
 
 /** The requests of one service in this process. */
 export interface ServiceTraffic {
   readonly queue: ServiceQueue;
-  /** Last time that the queue did not stand; see `standingQueue`. */
-  notStandingAt: number;
+  /** Last time the longest wait was within the service's `standingMs`; see `standingQueue`. */
+  belowTargetAt: number;
   isStanding: boolean;
-  /** Requests here that have no final answer yet. */
-  inProcess: number;
-  /** Requests sent from here that might be hedged, the oldest first. */
+  /** Number of requests in this process that are not closed. */
+  openRequests: number;
+  /** Requests sent from here that may be hedged, in the order in which they were first sent. */
   readonly hedgeable: Map<RequestId, RequestRecord>;
-  /** Requests that are to run alone on a target, in order; the first of a kind runs first. */
+  /** Crash suspects that wait for an empty target or run alone on one, in order of arrival. */
   readonly alone: RequestRecord[];
-  readonly beliefs: Map<EntryVmId, PeerBelief>;
-  readonly waiters: Map<EntryVmId, Waiter>;
-  /** Slots that peers were lately told to use, until `invitedUntil`. */
-  invited: number;
-  invitedUntil: number;
+  readonly peerEstimates: Map<EntryVmId, PeerEstimate>;
+  readonly queuedPeers: Map<EntryVmId, QueuedPeer>;
+  /** Slots that peers were invited to use and have not used yet; void at `invitationsExpireAt`. */
+  invitedSlots: number;
+  invitationsExpireAt: number;
 }
 
 /**
- * The requests of a service in this process.
+ * Returns the requests of a service in this process, creating an empty record on first use.
  * @param state - The process's state.
  * @param service - The service's name.
  */
@@ -55,15 +55,15 @@
   if (traffic === undefined) {
     traffic = {
       queue: new ServiceQueue(),
-      notStandingAt: 0,
+      belowTargetAt: 0,
       isStanding: false,
-      inProcess: 0,
+      openRequests: 0,
       hedgeable: new Map(),
       alone: [],
-      beliefs: new Map(),
-      waiters: new Map(),
-      invited: 0,
-      invitedUntil: 0,
+      peerEstimates: new Map(),
+      queuedPeers: new Map(),
+      invitedSlots: 0,
+      invitationsExpireAt: 0,
     };
     state.requests.traffic.set(service, traffic);
   }
--- a/src/core/requests/arrival.ts
+++ b/src/core/requests/arrival.ts
@@ -7,17 +7,17 @@
 import { claimKey } from '../keys/index.js';
 import type { ServiceConfig } from '../model/index.js';
 import { earnRetries } from '../protection/index.js';
-import { getProcessCap, getRetryAfter } from './capacity.js';
+import { getMaxOpenRequests, getRetryAfterMs } from './capacity.js';
 import { dispatch } from './dispatch.js';
-import { giveUp } from './finish.js';
+import { reject } from './finish.js';
 import { makeOwnAnswer } from './ownAnswers.js';
 import type { RequestRecord } from './RequestsState.js';
 import type { ServiceTraffic } from './ServiceTraffic.js';
 import { getTraffic } from './ServiceTraffic.js';
-import { noteInvitationUsed } from './waiters.js';
+import { recordInvitationUsed } from './invitations.js';
 
-/** Requests of all services that may be in a process at once. */
-const MOST_IN_PROCESS = 20_000;
+/** With this many requests open in a process, each active service may only have an equal share. */
+const MAX_OPEN_REQUESTS = 20_000;
 
 function createRecord(
   event: EventOf<'requestArrived'>,
@@ -32,53 +32,56 @@
     isRepeatable: service.repeat.methods.includes(event.method),
     attempts: new Set(),
     stage: 'claiming',
-    mayHaveRun: false,
+    hasPossiblyRun: false,
     isResendBarred: false,
     triedTargets: [],
     triedPeers: [],
-    losses: 0,
+    lostAttempts: 0,
     isHedged: false,
-    holdsKey: false,
+    hasClaimedKey: false,
   };
 }
 
 /**
- * Whether a service has its share of this process already. Without a bound a service whose targets
- * hang fills the memory and connections of the entry VM; seen as other services failing with it.
+ * Whether a service has as many open requests as it may have in this process. Without this bound a
+ * service whose targets hang uses up the memory and connections of the entry VM, and other services
+ * fail with it.
  */
-function isOverShare(state: EntryState, service: ServiceConfig, traffic: ServiceTraffic): boolean {
+function hasUsedShare(state: EntryState, service: ServiceConfig, traffic: ServiceTraffic): boolean {
   const { slots } = service.capacity;
-  if (traffic.inProcess >= getProcessCap(state, service.name, slots, service.queue.maxLength)) {
+  if (
+    traffic.openRequests >= getMaxOpenRequests(state, service.name, slots, service.queue.maxLength)
+  ) {
     return true;
   }
-  if (state.requests.requests.size < MOST_IN_PROCESS) return false;
-  let active = 0;
-  for (const each of state.requests.traffic.values()) if (each.inProcess > 0) active += 1;
-  return traffic.inProcess * active >= MOST_IN_PROCESS;
+  if (state.requests.requests.size < MAX_OPEN_REQUESTS) return false;
+  let activeCount = 0;
+  for (const each of state.requests.traffic.values()) if (each.openRequests > 0) activeCount += 1;
+  return traffic.openRequests * activeCount >= MAX_OPEN_REQUESTS;
 }
 
-function findRefusal(
+function getRejectionCode(
   state: EntryState,
   record: RequestRecord,
   traffic: ServiceTraffic,
   now: number,
 ): ProblemCode | undefined {
-  // Addresses that named this process have run out; a request taken now might be cut by its exit.
+  // The address answers that name this process have expired; its exit could cut off a new request.
   if (isClosing(state, now)) return 'leaving';
   if (!isFresh(state, now)) return 'not-fresh';
   if (now >= record.deadlineAt) return 'deadline-passed';
-  return isOverShare(state, record.service, traffic) ? 'no-capacity' : undefined;
+  return hasUsedShare(state, record.service, traffic) ? 'no-capacity' : undefined;
 }
 
-/** A request is here: it is refused, its key is claimed, or it is sent on its way. */
-export function handleArrived(
+/** Handles a new request: rejects it, claims its key first, or dispatches it. */
+export function handleRequestArrived(
   state: EntryState,
   event: EventOf<'requestArrived'>,
   context: Context,
 ): Effect[] {
   const { requests } = state;
   if (requests.requests.has(event.request)) return [];
-  requests.seenAt = context.now;
+  requests.lastEventAt = context.now;
   const service = getService(state, event.service);
   if (service === undefined) {
     const answer = makeOwnAnswer('unknown-service', 'not-run');
@@ -86,13 +89,13 @@
   }
   const traffic = getTraffic(state, service.name);
   const record = createRecord(event, service, context.now);
-  const refusal = findRefusal(state, record, traffic, context.now);
+  const code = getRejectionCode(state, record, traffic, context.now);
   requests.requests.set(record.id, record);
-  traffic.inProcess += 1;
-  if (event.forwardedBy !== undefined) noteInvitationUsed(traffic);
-  if (refusal !== undefined) {
-    const retryAfterMs = getRetryAfter(state, service.name, context.now, context.random());
-    return giveUp(state, record, refusal, refusal === 'deadline-passed' ? undefined : retryAfterMs);
+  traffic.openRequests += 1;
+  if (event.forwardedBy !== undefined) recordInvitationUsed(traffic);
+  if (code !== undefined) {
+    const retryAfterMs = getRetryAfterMs(state, service.name, context.now, context.random());
+    return reject(state, record, code, code === 'deadline-passed' ? undefined : retryAfterMs);
   }
   earnRetries(state, service);
   if (!record.isRepeatable && state.guards.claimBeforeSend(event)) {
--- a/src/core/requests/attemptAnswered.ts
+++ b/src/core/requests/attemptAnswered.ts
@@ -3,40 +3,47 @@
 import type { EntryState } from '../EntryState.js';
 import type { EventOf } from '../Handler.js';
 import { noteAnswered } from '../protection/index.js';
-import type { AnswerVerdict } from '../targets/index.js';
-import { noteTargetAnswer } from '../targets/index.js';
-import { hearSpare, noteForwardRefused } from './beliefs.js';
+import type { AnswerClass } from '../targets/index.js';
+import { recordTargetAnswer } from '../targets/index.js';
+import { recordPeerSpare, recordForwardRefused } from './peerEstimates.js';
 import type { AttemptRecord } from './RequestsState.js';
 import { getTraffic } from './ServiceTraffic.js';
 
-/** Statuses from here on say that the target itself failed. */
+/** Lowest status that counts as an error of the target itself. */
 const FIRST_ERROR_STATUS = 500;
 
-function judgeStatus(attempt: AttemptRecord, status: number): AnswerVerdict {
+function classifyStatus(attempt: AttemptRecord, status: number): AnswerClass {
   if (attempt.owner.service.repeat.refusedStatuses.includes(status)) return 'refused';
   return status >= FIRST_ERROR_STATUS ? 'error' : 'answered';
 }
 
-/** What a target's answer tells of the target; whether the target refused the request. */
-function takeTargetAnswer(
+/** Updates the target's record by its answer and tells whether the target refused the request. */
+function processTargetAnswer(
   state: EntryState,
   attempt: AttemptRecord,
   event: EventOf<'attemptAnswered'>,
   context: Context,
 ): { readonly effects: Effect[]; readonly isRefused: boolean } {
   if (attempt.to.kind !== 'target') return { effects: [], isRefused: false };
-  const verdict = judgeStatus(attempt, event.status);
+  const answerClass = classifyStatus(attempt, event.status);
   const { target } = attempt.to;
-  const effects = noteTargetAnswer(state, target, event.attempt, verdict, event.load, context);
-  if (verdict === 'answered') {
+  const effects = recordTargetAnswer(
+    state,
+    target,
+    event.attempt,
+    answerClass,
+    event.load,
+    context,
+  );
+  if (answerClass === 'answered') {
     const { service, fingerprint } = attempt.owner.arrived;
     effects.push(...noteAnswered(state, service, fingerprint, context));
   }
-  return { effects, isRefused: verdict === 'refused' };
+  return { effects, isRefused: answerClass === 'refused' };
 }
 
-/** What a peer's answer tells of the peer; whether the request certainly did not run there. */
-function takePeerAnswer(
+/** Updates the peer's estimate by its answer; true if the request certainly did not run there. */
+function processPeerAnswer(
   state: EntryState,
   attempt: AttemptRecord,
   event: EventOf<'attemptAnswered'>,
@@ -46,18 +53,18 @@
   const { peer } = attempt.to;
   const { service } = attempt.owner.arrived;
   const isRefused = event.ownOutcome === 'not-run';
-  if (event.spare !== undefined) hearSpare(state, peer, event.spare, now);
+  if (event.spare !== undefined) recordPeerSpare(state, peer, event.spare, now);
   if (isRefused) {
     attempt.owner.peerRetryAfterMs = event.retryAfterMs;
-    noteForwardRefused(state, service, peer, now);
+    recordForwardRefused(state, service, peer, now);
   }
   return isRefused;
 }
 
-/** The first good answer goes to the caller; other sendings of the request are cancelled. */
-function relay(state: EntryState, attempt: AttemptRecord, id: number): Effect[] {
+/** Relays the first usable answer to the caller and cancels the request's other attempts. */
+function relayAnswer(state: EntryState, attempt: AttemptRecord, id: number): Effect[] {
   const { owner } = attempt;
-  owner.relayed = id;
+  owner.relayedAttempt = id;
   owner.stage = 'relaying';
   getTraffic(state, owner.service.name).hedgeable.delete(owner.id);
   const effects: Effect[] = [{ kind: 'relayAnswer', request: owner.id, attempt: id }];
@@ -68,35 +75,35 @@
   }
   for (const other of owner.attempts) {
     if (other === id) continue;
-    const sending = state.requests.attempts.get(other);
-    if (sending !== undefined) sending.settled = 'dropped';
+    const otherAttempt = state.requests.attempts.get(other);
+    if (otherAttempt !== undefined) otherAttempt.closedAs = 'dropped';
     effects.push({ kind: 'cancelAttempt', attempt: other });
   }
   return effects;
 }
 
-/** An answer's head is here. Late, repeated and crossed ones find their attempt settled. */
-export function handleAnswered(
+/** Handles the head of an answer; late or repeated ones have no effect on the request. */
+export function handleAttemptAnswered(
   state: EntryState,
   event: EventOf<'attemptAnswered'>,
   context: Context,
 ): Effect[] {
-  state.requests.seenAt = context.now;
+  state.requests.lastEventAt = context.now;
   const attempt = state.requests.attempts.get(event.attempt);
   if (attempt === undefined || attempt.isAnswered) return [];
   attempt.isAnswered = true;
   const { owner } = attempt;
-  const { effects, isRefused } = takeTargetAnswer(state, attempt, event, context);
-  const isBack = takePeerAnswer(state, attempt, event, context.now);
-  if (attempt.settled !== undefined || owner.stage === 'closed') return effects;
-  if (isRefused || isBack) {
-    // Sent elsewhere once its end says whether its body can be sent again.
-    attempt.settled = 'refused';
+  const { effects, isRefused } = processTargetAnswer(state, attempt, event, context);
+  const isRefusedByPeer = processPeerAnswer(state, attempt, event, context.now);
+  if (attempt.closedAs !== undefined || owner.stage === 'closed') return effects;
+  if (isRefused || isRefusedByPeer) {
+    // Resent only when the attempt ends: that event tells whether the body can be replayed.
+    attempt.closedAs = 'refused';
     owner.attempts.delete(event.attempt);
     if (isRefused) effects.push({ kind: 'cancelAttempt', attempt: event.attempt });
     return effects;
   }
-  if (owner.relayed !== undefined) return effects;
-  effects.push(...relay(state, attempt, event.attempt));
+  if (owner.relayedAttempt !== undefined) return effects;
+  effects.push(...relayAnswer(state, attempt, event.attempt));
   return effects;
 }
--- a/src/core/requests/drain.ts
+++ b/src/core/requests/drainQueue.ts
@@ -3,15 +3,15 @@
 import type { EntryState } from '../EntryState.js';
 import type { ServiceName } from '../model/index.js';
 import { chooseTarget } from '../targets/index.js';
-import { choosePeer } from './beliefs.js';
-import { dispatch, leaveAlone } from './dispatch.js';
-import { stepAlone } from './runAlone.js';
+import { choosePeer } from './peerEstimates.js';
+import { dispatch, removeFromAloneQueue } from './dispatch.js';
+import { advanceAloneQueue } from './runAlone.js';
 import { sendToPeer, sendToTarget } from './sendRequest.js';
 import type { QueueEntry } from './ServiceQueue.js';
 import { getTraffic } from './ServiceTraffic.js';
-import { inviteWaiters } from './waiters.js';
+import { inviteQueuedPeers } from './invitations.js';
 
-/** Gives free slots of this process's own targets to what waits. */
+/** Sends queued requests to free slots of the targets that this process holds. */
 function sendQueued(state: EntryState, service: ServiceName, context: Context): Effect[] {
   const { queue } = getTraffic(state, service);
   const effects: Effect[] = [];
@@ -24,11 +24,11 @@
   return effects;
 }
 
-function isOwn(entry: QueueEntry): boolean {
-  return entry.isOwn;
+function isForwardable(entry: QueueEntry): boolean {
+  return entry.isForwardable;
 }
 
-/** Forwards what waits to peers that have lately told of free slots. */
+/** Forwards queued requests to peers that recently reported free slots. */
 function forwardQueued(state: EntryState, service: ServiceName, context: Context): Effect[] {
   const { queue } = getTraffic(state, service);
   const effects: Effect[] = [];
@@ -36,7 +36,7 @@
   while (queue.length > 0) {
     const peer = choosePeer(state, service, [], 'surelyFree', context.now, random);
     if (peer === undefined) break;
-    const entry = queue.shift(isOwn);
+    const entry = queue.shift(isForwardable);
     if (entry === undefined) break;
     const record = state.requests.requests.get(entry.request);
     if (record !== undefined) effects.push(...sendToPeer(state, record, peer, context));
@@ -45,20 +45,20 @@
 }
 
 /**
- * Uses what capacity a service has for what waits: own slots first, then peers'; slots left over
- * are offered to peers that have requests waiting.
+ * Dispatches the waiting requests of a service: crash suspects first, then the queue, to free slots
+ * here before those of peers. Peers with queues are invited to use the slots that are left.
  * @param state - The process's state.
  * @param service - The service's name.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function drain(state: EntryState, service: ServiceName, context: Context): Effect[] {
+export function drainQueue(state: EntryState, service: ServiceName, context: Context): Effect[] {
   const traffic = getTraffic(state, service);
   const effects: Effect[] = [];
   if (traffic.alone.length > 0) {
-    const step = stepAlone(state, traffic, context);
+    const step = advanceAloneQueue(state, traffic, context);
     effects.push(...step.effects);
-    for (const record of step.resume) {
-      leaveAlone(state, record);
+    for (const record of step.cleared) {
+      removeFromAloneQueue(state, record);
       effects.push(...dispatch(state, record, context));
     }
   }
@@ -66,6 +66,6 @@
     effects.push(...sendQueued(state, service, context));
     effects.push(...forwardQueued(state, service, context));
   }
-  if (traffic.waiters.size > 0) effects.push(...inviteWaiters(state, service, context));
+  if (traffic.queuedPeers.size > 0) effects.push(...inviteQueuedPeers(state, service, context));
   return effects;
 }
--- a/src/core/requests/enqueue.ts
+++ b/src/core/requests/enqueue.ts
@@ -1,47 +1,54 @@
 import type { Context } from '../Context.js';
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
-import { getExpectedWait, getRetryAfter } from './capacity.js';
-import { giveUp } from './finish.js';
+import { getExpectedWaitMs, getRetryAfterMs } from './capacity.js';
+import { reject } from './finish.js';
 import type { RequestRecord } from './RequestsState.js';
 import { getTraffic } from './ServiceTraffic.js';
 
-/** Peers may take part of the queue, so that its own estimate is too long by about this share. */
-const WAIT_SHARE = 0.5;
+/** Share of the estimated wait held against a deadline: peers may take part of the queue. */
+const LOCAL_WAIT_FACTOR = 0.5;
 
-/** Makes room for one more: the caller with the most waiting gives up its last. */
-function displace(
+/**
+ * Makes room in a full queue by rejecting the last request of the caller that has the most waiting.
+ * @returns The effects; undefined if no caller has at least two more requests waiting than this
+ * request's caller.
+ */
+function evictFromBusiestCaller(
   state: EntryState,
   record: RequestRecord,
   context: Context,
 ): Effect[] | undefined {
   const { queue } = getTraffic(state, record.service.name);
-  const last = queue.findLongestCallersLast();
+  const last = queue.findLastOfBusiestCaller();
   if (last === undefined) return undefined;
-  if (queue.countOf(last.caller) <= queue.countOf(record.arrived.caller) + 1) return undefined;
-  const displaced = state.requests.requests.get(last.request);
-  if (displaced === undefined) return undefined;
-  const wait = getRetryAfter(state, record.service.name, context.now, context.random());
-  return giveUp(state, displaced, 'queue-too-long', wait);
+  if (queue.count(last.caller) <= queue.count(record.arrived.caller) + 1) return undefined;
+  const evicted = state.requests.requests.get(last.request);
+  if (evicted === undefined) return undefined;
+  const retryAfterMs = getRetryAfterMs(state, record.service.name, context.now, context.random());
+  return reject(state, evicted, 'queue-too-long', retryAfterMs);
 }
 
 /**
- * Puts a request into its service's queue, or gives it up at once if it would wait in vain.
+ * Puts a request into its service's queue, or rejects it at once if the queue has no room for it or
+ * it would probably not be served before its deadline.
  * @param state - The process's state.
  * @param record - The request.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function enqueue(state: EntryState, record: RequestRecord, context: Context): Effect[] {
   const { service, arrived } = record;
   const { queue } = getTraffic(state, service.name);
   const { now } = context;
-  const wait = getExpectedWait(state, service.name, now);
-  const isHopeless = Number.isFinite(wait) && now + wait * WAIT_SHARE >= record.deadlineAt;
+  const waitMs = getExpectedWaitMs(state, service.name, now);
+  const isDeadlineUnreachable =
+    Number.isFinite(waitMs) && now + waitMs * LOCAL_WAIT_FACTOR >= record.deadlineAt;
   const isFull = queue.length >= service.queue.maxLength;
-  const effects = isFull && !isHopeless ? displace(state, record, context) : [];
-  if (isHopeless || effects === undefined) {
-    const retryAfterMs = getRetryAfter(state, service.name, now, context.random());
-    return giveUp(state, record, 'queue-too-long', retryAfterMs);
+  const effects =
+    isFull && !isDeadlineUnreachable ? evictFromBusiestCaller(state, record, context) : [];
+  if (isDeadlineUnreachable || effects === undefined) {
+    const retryAfterMs = getRetryAfterMs(state, service.name, now, context.random());
+    return reject(state, record, 'queue-too-long', retryAfterMs);
   }
   record.stage = 'queued';
   queue.push({
@@ -49,7 +56,7 @@
     caller: arrived.caller,
     deadlineAt: record.deadlineAt,
     enqueuedAt: now,
-    isOwn: arrived.forwardedBy === undefined,
+    isForwardable: arrived.forwardedBy === undefined,
   });
   return effects;
 }
--- a/src/core/requests/finish.ts
+++ b/src/core/requests/finish.ts
@@ -8,43 +8,43 @@
 import { getTraffic } from './ServiceTraffic.js';
 
 /**
- * Whether a request ran, as far as is certain. A sending still out may be running it now.
+ * Whether a request ran: `not-run` only if that is certain. An open attempt may be running it now.
  * @param record - The request.
  */
 export function getOutcome(record: RequestRecord): OwnOutcome {
-  return record.mayHaveRun || record.attempts.size > 0 ? 'unknown' : 'not-run';
+  return record.hasPossiblyRun || record.attempts.size > 0 ? 'unknown' : 'not-run';
 }
 
 /**
- * Tells the keys part once how a request with a key ended, if nothing of it is out any more.
+ * Tells the keys part once how a request with a claimed key ended, after its last attempt ended.
  * @param record - The request.
- * @param stored - Its whole answer, if it was kept.
+ * @param stored - Its complete answer, if that was kept.
  */
-export function endKey(record: RequestRecord, stored?: StoredAnswer): Effect[] {
-  if (!record.holdsKey || record.attempts.size > 0) return [];
-  record.holdsKey = false;
+export function reportKeyEnd(record: RequestRecord, stored?: StoredAnswer): Effect[] {
+  if (!record.hasClaimedKey || record.attempts.size > 0) return [];
+  record.hasClaimedKey = false;
   const end = stored ?? (getOutcome(record) === 'not-run' ? 'notRun' : 'unknown');
   return [{ kind: 'raise', event: { kind: 'keyedRequestEnded', request: record.id, end } }];
 }
 
-/** Takes a request out of all that it waits in. */
-function leaveStage(state: EntryState, record: RequestRecord): void {
+/** Removes a request from the queues and lists of its service and releases its reservation. */
+function removeFromQueues(state: EntryState, record: RequestRecord): void {
   const { name } = record.service;
   const traffic = getTraffic(state, name);
   if (record.stage === 'queued') traffic.queue.remove(record.arrived.caller, record.id);
-  const alone = traffic.alone.indexOf(record);
-  if (alone >= 0) {
-    traffic.alone.splice(alone, 1);
+  const aloneIndex = traffic.alone.indexOf(record);
+  if (aloneIndex >= 0) {
+    traffic.alone.splice(aloneIndex, 1);
     releaseReservation(state, name, record.id);
   }
   traffic.hedgeable.delete(record.id);
 }
 
 /**
- * Ends a request: it gets no further answer. What is still out is cancelled.
+ * Closes a request, which gets no further answer, and cancels its open attempts.
  * @param state - The process's state.
  * @param record - The request.
- * @param stored - Its whole answer, if it had a key and the answer was kept.
+ * @param stored - Its complete answer, if it had a key and the answer was kept.
  */
 export function closeRequest(
   state: EntryState,
@@ -52,27 +52,28 @@
   stored?: StoredAnswer,
 ): Effect[] {
   if (record.stage === 'closed') return [];
-  leaveStage(state, record);
+  removeFromQueues(state, record);
   record.stage = 'closed';
-  getTraffic(state, record.service.name).inProcess -= 1;
+  getTraffic(state, record.service.name).openRequests -= 1;
   state.requests.requests.delete(record.id);
   const effects: Effect[] = [];
   for (const attempt of record.attempts) {
-    const sending = state.requests.attempts.get(attempt);
-    if (sending !== undefined) sending.settled = 'dropped';
+    const attemptRecord = state.requests.attempts.get(attempt);
+    if (attemptRecord !== undefined) attemptRecord.closedAs = 'dropped';
     effects.push({ kind: 'cancelAttempt', attempt });
   }
-  return [...effects, ...endKey(record, stored)];
+  return [...effects, ...reportKeyEnd(record, stored)];
 }
 
 /**
- * Gives a request up: its caller hears so at once, with what is certain of its having run.
+ * Answers a request with a problem, which says whether the request ran, and closes it.
  * @param state - The process's state.
  * @param record - The request.
- * @param code - Why.
- * @param retryAfterMs - When the caller may come back.
+ * @param code - Code of the problem.
+ * @param retryAfterMs - After how many milliseconds the caller may retry; left out if a retry is no
+ * use.
  */
-export function giveUp(
+export function reject(
   state: EntryState,
   record: RequestRecord,
   code: ProblemCode,
--- a/src/core/requests/holders.ts
+++ b/src/core/requests/holders.ts
@@ -3,12 +3,12 @@
 import { getHolder, getPartition } from '../fleet/index.js';
 import type { Assignment, FleetConfig, Member, ServiceName, TargetConfig } from '../model/index.js';
 
-/** An entry VM that drives targets of a service. */
+/** An entry VM that holds targets of a service under the assignment. */
 export interface ServiceHolder {
   readonly member: Member;
-  /** Targets of the service that it drives, in zones that are in. */
+  /** Number of the service's targets that it holds, in zones that are in. */
   readonly targets: number;
-  /** Slots of those targets as declared. */
+  /** Declared slots of those targets. */
   readonly slots: number;
 }
 
@@ -19,10 +19,10 @@
   readonly holders: readonly ServiceHolder[];
 }
 
-/** Holders by service, with what they were worked out from. */
-export type HoldersCache = Map<ServiceName, CachedHolders>;
+/** Holders by service, with the objects that they were computed from. */
+export type HolderCache = Map<ServiceName, CachedHolders>;
 
-function findHolders(state: EntryState, service: ServiceName): ServiceHolder[] {
+function computeHolders(state: EntryState, service: ServiceName): ServiceHolder[] {
   const { members } = state.fleet.assignment;
   const slots = state.configuration.services.get(service)?.capacity.slots ?? 1;
   const counts = new Map<Member, number>();
@@ -35,8 +35,8 @@
 }
 
 /**
- * The entry VMs that drive a service's targets under the assignment. Worked out anew only when the
- * assignment, the zones or the targets change.
+ * The entry VMs that hold a service's targets under the assignment. Recomputed only when the
+ * assignment, the configuration or the service's targets change.
  * @param state - The process's state.
  * @param service - The service's name.
  */
@@ -51,16 +51,16 @@
   const isCurrent =
     cached?.assignment === assignment && cached.config === config && cached.targets === targets;
   if (isCurrent) return cached.holders;
-  const holders = findHolders(state, service);
+  const holders = computeHolders(state, service);
   state.requests.holders.set(service, { assignment, config, targets, holders });
   return holders;
 }
 
 /**
- * Whether an entry VM drives targets of a service.
+ * Whether an entry VM holds targets of a service.
  * @param state - The process's state.
  * @param service - The service's name.
- * @param id - The entry VM.
+ * @param id - Identity of the entry VM.
  */
 export function isHolderOf(state: EntryState, service: ServiceName, id: string): boolean {
   return getServiceHolders(state, service).some((holder) => holder.member.id === id);
--- a/src/core/requests/index.ts
+++ b/src/core/requests/index.ts
@@ -4,4 +4,4 @@
 export { requestsPart } from './requestsPart.js';
 export { createRequestsState } from './RequestsState.js';
 export type { AttemptRecord, RequestRecord, RequestsState } from './RequestsState.js';
-export type { PeerBelief, ServiceTraffic } from './ServiceTraffic.js';
+export type { PeerEstimate, ServiceTraffic } from './ServiceTraffic.js';
--- a/src/core/requests/overdue.ts
+++ b/src/core/requests/overdue.ts
@@ -1,23 +1,23 @@
 import type { Context } from '../Context.js';
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
-import { giveUp } from './finish.js';
+import { reject } from './finish.js';
 
-/** What the adapters are given to report a passed deadline themselves, in milliseconds. */
-const GRACE_MS = 500;
+/** Time after a deadline in which the adapters should report it themselves, in milliseconds. */
+const DEADLINE_GRACE_MS = 500;
 
 /**
- * Gives up requests whose deadline passed without a word from the adapter, so that a caller never
- * waits for an answer that nobody will give.
+ * Rejects requests whose deadline passed without a report from the adapter, so that no caller waits
+ * for an answer that will never come.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function giveUpOverdue(state: EntryState, context: Context): Effect[] {
+export function rejectOverdue(state: EntryState, context: Context): Effect[] {
   const effects: Effect[] = [];
   for (const record of state.requests.requests.values()) {
-    const isRelaying = record.relayed !== undefined;
-    if (isRelaying || record.deadlineAt + GRACE_MS > context.now) continue;
-    effects.push(...giveUp(state, record, 'deadline-passed'));
+    const isRelaying = record.relayedAttempt !== undefined;
+    if (isRelaying || record.deadlineAt + DEADLINE_GRACE_MS > context.now) continue;
+    effects.push(...reject(state, record, 'deadline-passed'));
   }
   return effects;
 }
--- a/src/core/requests/ownAnswers.ts
+++ b/src/core/requests/ownAnswers.ts
@@ -1,7 +1,7 @@
 import type { OwnAnswer, ProblemCode } from '../effects.js';
 import type { OwnOutcome } from '../events.js';
 
-/** Status and wording of each of masticlink's own answers. */
+/** Status and detail text of each problem that masticlink itself answers with. */
 const ANSWERS: Readonly<Record<ProblemCode, { readonly status: number; readonly detail: string }>> =
   {
     'unknown-service': { status: 404, detail: 'no service of this name is configured' },
@@ -18,14 +18,15 @@
     'answer-not-kept': { status: 409, detail: 'the request ran; its answer was not kept' },
   };
 
-/** The least time a refused caller is told to stay away, in milliseconds. */
-const SOONEST_RETRY_MS = 50;
+/** Shortest retry delay given to a caller, in milliseconds. */
+const MIN_RETRY_AFTER_MS = 50;
 
 /**
- * One of masticlink's own answers.
- * @param code - Why.
+ * Creates an answer of masticlink's own, as opposed to one relayed from a target.
+ * @param code - Code of the problem.
  * @param outcome - Whether the request ran; `not-run` only if that is certain.
- * @param retryAfterMs - When the caller may come back, if that makes sense.
+ * @param retryAfterMs - After how many milliseconds the caller may retry; left out if a retry is no
+ * use. Raised to a minimum and rounded up.
  * @example
  * makeOwnAnswer('no-capacity', 'not-run', 200);
  */
@@ -36,6 +37,6 @@
 ): OwnAnswer {
   const { status, detail } = ANSWERS[code];
   if (retryAfterMs === undefined) return { status, outcome, code, detail };
-  const rounded = Math.ceil(Math.max(SOONEST_RETRY_MS, retryAfterMs));
+  const rounded = Math.ceil(Math.max(MIN_RETRY_AFTER_MS, retryAfterMs));
   return { status, outcome, code, detail, retryAfterMs: rounded };
 }
--- a/src/core/requests/runAlone.ts
+++ b/src/core/requests/runAlone.ts
@@ -5,7 +5,7 @@
 import type { ServiceName } from '../model/index.js';
 import { getSuspectRemaining, judgeRequest } from '../protection/index.js';
 import { reserveTarget } from '../targets/index.js';
-import { giveUp } from './finish.js';
+import { reject } from './finish.js';
 import type { ServiceHolder } from './holders.js';
 import { getServiceHolders } from './holders.js';
 import type { RequestRecord } from './RequestsState.js';
@@ -13,16 +13,16 @@
 import type { ServiceTraffic } from './ServiceTraffic.js';
 import { getTraffic } from './ServiceTraffic.js';
 
-/** Suspects that wait in one process for a target of their own, per service. */
-const MOST_WAITING = 8;
-/** When the caller of a suspect that cannot be tried now may come back, in milliseconds. */
+/** Crash suspects of one service that may wait or run alone in one process. */
+const MAX_WAITING = 8;
+/** Retry delay for the caller of a suspect that can't be run now, in milliseconds. */
 const RETRY_MS = 1_000;
 
 /**
- * The one entry VM that may try a suspect. Were each to try it, every one of them would lose a
- * target to it.
+ * The one holder that may run a suspect with this fingerprint. If each holder ran it, each could
+ * lose a target to it.
  */
-function findJudge(
+function findTrialHolder(
   state: EntryState,
   service: ServiceName,
   fingerprint: string,
@@ -35,8 +35,8 @@
   return holders.find((holder) => holder.member.id === winner);
 }
 
-/** Whether a request like this one is tried already: its end decides for all. */
-function isTried(traffic: ServiceTraffic, record: RequestRecord): boolean {
+/** Whether a request with this fingerprint runs alone already: its end decides for the others. */
+function isTrialInFlight(traffic: ServiceTraffic, record: RequestRecord): boolean {
   const { fingerprint } = record.arrived;
   return traffic.alone.some(
     (each) => each.stage === 'sent' && each.arrived.fingerprint === fingerprint,
@@ -44,18 +44,18 @@
 }
 
 /**
- * Refuses a request that targets died of.
+ * Rejects a request whose fingerprint was outstanding at targets when they died.
  * @param state - The process's state.
  * @param record - The request.
  * @param now - Monotonic milliseconds.
  */
-export function refuseSuspect(state: EntryState, record: RequestRecord, now: number): Effect[] {
+export function rejectSuspect(state: EntryState, record: RequestRecord, now: number): Effect[] {
   const { service, arrived } = record;
-  const remaining = getSuspectRemaining(state, service.name, arrived.fingerprint, now);
-  return giveUp(state, record, 'crash-suspect', Math.max(RETRY_MS, remaining));
+  const remainingMs = getSuspectRemaining(state, service.name, arrived.fingerprint, now);
+  return reject(state, record, 'crash-suspect', Math.max(RETRY_MS, remainingMs));
 }
 
-function tryAlone(state: EntryState, record: RequestRecord, context: Context): Effect[] {
+function sendAlone(state: EntryState, record: RequestRecord, context: Context): Effect[] {
   const { name } = record.service;
   const target = reserveTarget(state, name, record.id, context.now);
   if (target === undefined) return [];
@@ -64,50 +64,58 @@
 }
 
 /**
- * Brings a suspect to the one entry VM that may try it, or has it wait here for an empty target.
+ * Forwards a crash suspect to the one holder that may run it. On that holder, puts it into the
+ * alone queue, where it waits for an empty target. Rejects it if neither is possible.
  * @param state - The process's state.
  * @param record - The request.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function runAlone(state: EntryState, record: RequestRecord, context: Context): Effect[] {
   const { name } = record.service;
   const traffic = getTraffic(state, name);
-  const judge = findJudge(state, name, record.arrived.fingerprint);
-  if (judge === undefined) return giveUp(state, record, 'crash-suspect', RETRY_MS);
-  if (judge.member.id !== state.settings.self.id) {
-    const mayForward =
-      record.arrived.forwardedBy === undefined && !record.triedPeers.includes(judge.member.id);
-    if (mayForward) return sendToPeer(state, record, judge, context);
-    return giveUp(state, record, 'crash-suspect', RETRY_MS);
+  const trialHolder = findTrialHolder(state, name, record.arrived.fingerprint);
+  if (trialHolder === undefined) return reject(state, record, 'crash-suspect', RETRY_MS);
+  if (trialHolder.member.id !== state.settings.self.id) {
+    const canForward =
+      record.arrived.forwardedBy === undefined &&
+      !record.triedPeers.includes(trialHolder.member.id);
+    if (canForward) return sendToPeer(state, record, trialHolder, context);
+    return reject(state, record, 'crash-suspect', RETRY_MS);
   }
-  if (traffic.alone.length >= MOST_WAITING) return giveUp(state, record, 'crash-suspect', RETRY_MS);
+  if (traffic.alone.length >= MAX_WAITING) return reject(state, record, 'crash-suspect', RETRY_MS);
   record.stage = 'waitingAlone';
   traffic.alone.push(record);
-  return isTried(traffic, record) ? [] : tryAlone(state, record, context);
+  return isTrialInFlight(traffic, record) ? [] : sendAlone(state, record, context);
 }
 
-/** What becomes of one that waits; `resume` if it is no suspect any more. */
-export interface AloneStep {
+/** Result of going through the alone queue. */
+export interface AloneQueueStep {
   readonly effects: Effect[];
-  readonly resume: readonly RequestRecord[];
+  /** Requests that are no longer suspected and can be dispatched normally. */
+  readonly cleared: readonly RequestRecord[];
 }
 
 /**
- * Goes on with the suspects that wait: tries the next, refuses those whose like was found guilty.
+ * Goes through the waiting crash suspects: sends those that can run now and rejects those whose
+ * fingerprint is refused by now.
  * @param state - The process's state.
  * @param traffic - The service's requests.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function stepAlone(state: EntryState, traffic: ServiceTraffic, context: Context): AloneStep {
+export function advanceAloneQueue(
+  state: EntryState,
+  traffic: ServiceTraffic,
+  context: Context,
+): AloneQueueStep {
   const effects: Effect[] = [];
-  const resume: RequestRecord[] = [];
+  const cleared: RequestRecord[] = [];
   for (const record of [...traffic.alone]) {
     if (record.stage !== 'waitingAlone') continue;
     const { service, arrived } = record;
     const verdict = judgeRequest(state, service.name, arrived.fingerprint, context.now);
-    if (verdict === 'refuse') effects.push(...refuseSuspect(state, record, context.now));
-    else if (verdict === 'clear') resume.push(record);
-    else if (!isTried(traffic, record)) effects.push(...tryAlone(state, record, context));
+    if (verdict === 'refuse') effects.push(...rejectSuspect(state, record, context.now));
+    else if (verdict === 'clear') cleared.push(record);
+    else if (!isTrialInFlight(traffic, record)) effects.push(...sendAlone(state, record, context));
   }
-  return { effects, resume };
+  return { effects, cleared };
 }
--- a/src/core/requests/sendRequest.ts
+++ b/src/core/requests/sendRequest.ts
@@ -1,17 +1,17 @@
 import type { Context } from '../Context.js';
 import type { Destination, Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
-import type { TargetRecord } from '../targets/index.js';
-import { beginSending } from '../targets/index.js';
-import { noteForwarded } from './beliefs.js';
+import type { LocalTarget } from '../targets/index.js';
+import { recordAttemptStarted } from '../targets/index.js';
+import { recordForwardStarted } from './peerEstimates.js';
 import type { ServiceHolder } from './holders.js';
 import type { RequestRecord } from './RequestsState.js';
 import { getTraffic } from './ServiceTraffic.js';
 
-/** Methods whose requests have no body, so that a second sending needs none. */
-const BODILESS = new Set(['GET', 'HEAD']);
+/** Methods whose requests have no body, so that they can be hedged without replaying one. */
+const BODYLESS_METHODS = new Set(['GET', 'HEAD']);
 
-function send(
+function startAttempt(
   state: EntryState,
   record: RequestRecord,
   to: Destination,
@@ -26,7 +26,7 @@
   record.stage = 'sent';
   const { arrived, service } = record;
   const isHedgeable = record.isRepeatable && arrived.forwardedBy === undefined;
-  if (isHedgeable && !record.isHedged && BODILESS.has(arrived.method)) {
+  if (isHedgeable && !record.isHedged && BODYLESS_METHODS.has(arrived.method)) {
     if (service.repeat.hedgeShare > 0) {
       getTraffic(state, service.name).hedgeable.set(record.id, record);
     }
@@ -35,31 +35,31 @@
 }
 
 /**
- * Sends a request to a target of this process's own.
+ * Sends a request to a target that this process holds.
  * @param state - The process's state.
  * @param record - The request.
- * @param target - The target, with a free slot.
- * @param context - Time and chance.
+ * @param target - The target; it must have a free slot.
+ * @param context - Current time and random source.
  */
 export function sendToTarget(
   state: EntryState,
   record: RequestRecord,
-  target: TargetRecord,
+  target: LocalTarget,
   context: Context,
 ): Effect[] {
   const { id, address } = target.config;
-  beginSending(target, state.requests.nextAttempt, record.arrived.fingerprint, context.now);
+  recordAttemptStarted(target, state.requests.nextAttempt, record.arrived.fingerprint, context.now);
   record.triedTargets.push(id);
   const to = { kind: 'target', target: id, address } as const;
-  return send(state, record, to, record.deadlineAt, context.now);
+  return startAttempt(state, record, to, record.deadlineAt, context.now);
 }
 
 /**
  * Forwards a request to a peer.
  * @param state - The process's state.
- * @param record - The request; its caller is connected here.
+ * @param record - The request; it must not have been forwarded here.
  * @param holder - The peer.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function sendToPeer(
   state: EntryState,
@@ -68,8 +68,8 @@
   context: Context,
 ): Effect[] {
   const { id: peer, peerAddress } = holder.member;
-  noteForwarded(state, record.service.name, peer, context.now);
+  recordForwardStarted(state, record.service.name, peer, context.now);
   record.triedPeers.push(peer);
   const to = { kind: 'peer', peer, peerAddress } as const;
-  return send(state, record, to, record.deadlineAt, context.now);
+  return startAttempt(state, record, to, record.deadlineAt, context.now);
 }
--- a/src/core/targets/LatencyDistribution.ts
+++ b/src/core/targets/LatencyDistribution.ts
@@ -1,46 +1,47 @@
 const BUCKETS_PER_DOUBLING = 4;
-const BUCKETS = 96;
-/** Lower end of the first bucket, in milliseconds. */
-const SMALLEST_MS = 0.25;
-/** Samples after which all counts are halved, so that the distribution follows a change of load. */
-const DECAY_AT = 4_000;
-/** Samples between two rebuilds of the tables. */
+const BUCKET_COUNT = 96;
+/** Upper end of the first bucket, in milliseconds. */
+const FIRST_BUCKET_END_MS = 0.25;
+/** Number of samples at which all counts are halved, so that old ones lose weight. */
+const DECAY_AT_SAMPLES = 4_000;
+/** Number of samples between two rebuilds of the tables. */
 const REBUILD_EVERY = 64;
-/** A target counts as slow if it seems this many doublings slower than its service: four times. */
+/** How much slower than its service a slow target is assumed to be, in doublings: four times. */
 const SLOW_DOUBLINGS = 2;
-const SHIFT = SLOW_DOUBLINGS * BUCKETS_PER_DOUBLING;
-/** Below so many samples nothing is said of a target: the tables would be guesses. */
-const ENOUGH_SAMPLES = 40;
-/** What one request's age may say at most: a single long request is no evidence. */
-const MOST_AGE_EVIDENCE = 8;
+const SLOW_SHIFT_BUCKETS = SLOW_DOUBLINGS * BUCKETS_PER_DOUBLING;
+/** With fewer samples the tables would be too inaccurate to judge a target by. */
+const MIN_SAMPLES = 40;
+/** Most evidence that one request's age can give: a single long request must not decide. */
+const MAX_AGE_EVIDENCE = 8;
 
 function getBucket(ms: number): number {
-  if (ms <= SMALLEST_MS) return 0;
-  const bucket = Math.floor(Math.log2(ms / SMALLEST_MS) * BUCKETS_PER_DOUBLING) + 1;
-  return bucket < BUCKETS ? bucket : BUCKETS - 1;
+  if (ms <= FIRST_BUCKET_END_MS) return 0;
+  const bucket = Math.floor(Math.log2(ms / FIRST_BUCKET_END_MS) * BUCKETS_PER_DOUBLING) + 1;
+  return bucket < BUCKET_COUNT ? bucket : BUCKET_COUNT - 1;
 }
 
 /** Upper end of a bucket, in milliseconds. */
 function getBucketEnd(bucket: number): number {
-  return SMALLEST_MS * 2 ** (bucket / BUCKETS_PER_DOUBLING);
+  return FIRST_BUCKET_END_MS * 2 ** (bucket / BUCKETS_PER_DOUBLING);
 }
 
 /**
- * How long the targets of one service take, as a histogram on a logarithmic scale that forgets,
- * with what an age or an answer's time says for "this target is four times slower".
+ * Latencies of the targets of one service, as a histogram with logarithmic buckets in which old
+ * samples lose weight. It yields the log likelihood ratio of "this target is four times slower" for
+ * the age of an unanswered request and for the latency of an answer.
  */
 export class LatencyDistribution {
   /** @internal */
-  private readonly counts = new Float64Array(BUCKETS);
+  private readonly counts = new Float64Array(BUCKET_COUNT);
 
   /** @internal */
-  private readonly ageEvidence = new Float64Array(BUCKETS);
+  private readonly ageEvidence = new Float64Array(BUCKET_COUNT);
 
   /** @internal */
-  private readonly answerEvidence = new Float64Array(BUCKETS);
+  private readonly answerEvidence = new Float64Array(BUCKET_COUNT);
 
-  /** Evidence that the age of a request says on average while all is well. @internal */
-  private usualAgeEvidence = 0;
+  /** Average age evidence of requests at targets of normal speed. @internal */
+  private meanAgeEvidence = 0;
 
   /** @internal */
   private total = 0;
@@ -52,20 +53,20 @@
   private sinceRebuild = 0;
 
   /** @internal */
-  private built = false;
+  private isBuilt = false;
 
-  /** Mean time, in milliseconds; undefined before the first answer. */
+  /** Mean latency, in milliseconds; undefined before the first answer. */
   get mean(): number | undefined {
     return this.total > 0 ? this.sum / this.total : undefined;
   }
 
-  /** Whether enough answers came to judge a target by. */
-  get isSettled(): boolean {
-    return this.total >= ENOUGH_SAMPLES;
+  /** Whether there are enough samples to judge a target by. */
+  get isReliable(): boolean {
+    return this.total >= MIN_SAMPLES;
   }
 
   /**
-   * Takes in one answer.
+   * Adds the latency of one answer.
    * @param ms - Time from sending to the answer's head, in milliseconds.
    * @example
    * distribution.add(20);
@@ -75,48 +76,49 @@
     this.total += 1;
     this.sum += ms;
     this.sinceRebuild += 1;
-    if (this.total >= DECAY_AT) this.decay();
-    if (this.sinceRebuild >= REBUILD_EVERY || (!this.built && this.isSettled)) this.rebuild();
+    if (this.total >= DECAY_AT_SAMPLES) this.decay();
+    if (this.sinceRebuild >= REBUILD_EVERY || (!this.isBuilt && this.isReliable)) this.rebuild();
   }
 
   /**
-   * The time that a share of the answers stay under, in milliseconds; undefined before the first.
+   * Latency that a share of the answers don't exceed, in milliseconds; undefined before the first
+   * answer.
    * @param share - Between 0 and 1.
    * @example
    * const p95 = distribution.getQuantile(0.95);
    */
   getQuantile(share: number): number | undefined {
     if (this.total === 0) return undefined;
-    const wanted = share * this.total;
-    let seen = 0;
-    for (let bucket = 0; bucket < BUCKETS; bucket++) {
-      seen += this.counts[bucket];
-      if (seen >= wanted) return getBucketEnd(bucket);
+    const targetCount = share * this.total;
+    let cumulativeCount = 0;
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
+      cumulativeCount += this.counts[bucket];
+      if (cumulativeCount >= targetCount) return getBucketEnd(bucket);
     }
-    return getBucketEnd(BUCKETS - 1);
+    return getBucketEnd(BUCKET_COUNT - 1);
   }
 
   /**
-   * Log likelihood ratio of "slow" against "as ever" for a request that has no answer yet, less
-   * what it is on average while all is well: the age alone never speaks for a target.
+   * Log likelihood ratio of "slow" against "normal" for a request that has no answer yet, minus the
+   * average of requests at targets of normal speed. Never lower for a higher age.
    * @param ageMs - Time since it was sent, in milliseconds.
    */
   getAgeEvidence(ageMs: number): number {
-    if (!this.built) return 0;
-    return Math.min(MOST_AGE_EVIDENCE, this.ageEvidence[getBucket(ageMs)] - this.usualAgeEvidence);
+    if (!this.isBuilt) return 0;
+    return Math.min(MAX_AGE_EVIDENCE, this.ageEvidence[getBucket(ageMs)] - this.meanAgeEvidence);
   }
 
   /**
-   * Log likelihood ratio of "slow" against "as ever" for a request that was answered.
+   * Log likelihood ratio of "slow" against "normal" for a request that was answered.
    * @param ms - Time from sending to the answer's head, in milliseconds.
    */
   getAnswerEvidence(ms: number): number {
-    return this.built ? this.answerEvidence[getBucket(ms)] : 0;
+    return this.isBuilt ? this.answerEvidence[getBucket(ms)] : 0;
   }
 
   /** @internal */
   private decay(): void {
-    for (let bucket = 0; bucket < BUCKETS; bucket++) this.counts[bucket] /= 2;
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) this.counts[bucket] /= 2;
     this.total /= 2;
     this.sum /= 2;
   }
@@ -124,36 +126,36 @@
   /** @internal */
   private rebuild(): void {
     this.sinceRebuild = 0;
-    this.built = this.isSettled;
-    // Half a sample in each bucket keeps the ratios finite where nothing was seen.
+    this.isBuilt = this.isReliable;
+    // Half a sample keeps the ratios finite for buckets without samples.
     const floor = 0.5 / (this.total + 1);
     const share = (bucket: number): number =>
       bucket < 0 ? floor : (this.counts[bucket] / this.total) * (1 - floor) + floor / 4;
-    const survival = new Float64Array(BUCKETS);
-    let above = floor;
-    for (let bucket = BUCKETS - 1; bucket >= 0; bucket--) {
-      // An age within a bucket has outlived none of the bucket's answers for certain.
-      above += this.counts[bucket] / this.total;
-      survival[bucket] = Math.min(1, above);
+    const survival = new Float64Array(BUCKET_COUNT);
+    let survivalAbove = floor;
+    for (let bucket = BUCKET_COUNT - 1; bucket >= 0; bucket--) {
+      // Includes the bucket's own answers: some may take longer than an age in the same bucket.
+      survivalAbove += this.counts[bucket] / this.total;
+      survival[bucket] = Math.min(1, survivalAbove);
     }
-    let ageTime = 0;
-    let evidenceTime = 0;
-    for (let bucket = 0; bucket < BUCKETS; bucket++) {
-      const slowSurvival = bucket < SHIFT ? 1 : survival[bucket - SHIFT];
+    let totalWeightMs = 0;
+    let weightedEvidence = 0;
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
+      const slowSurvival = bucket < SLOW_SHIFT_BUCKETS ? 1 : survival[bucket - SLOW_SHIFT_BUCKETS];
       const evidence = Math.log(slowSurvival / survival[bucket]);
-      // Beyond all that was seen the ratio falls again, but to be older speaks for nobody.
-      const younger = bucket === 0 ? 0 : this.ageEvidence[bucket - 1];
-      this.ageEvidence[bucket] = Math.max(evidence, younger);
-      // Requests of an age are as many as answers that take longer than it.
-      const seen = Math.max(0, survival[bucket] - floor);
-      const time = seen * (getBucketEnd(bucket) - getBucketEnd(bucket - 1));
-      ageTime += time;
-      evidenceTime += time * this.ageEvidence[bucket];
+      // Beyond the longest latency seen the ratio falls again, but a higher age never means faster.
+      const previousEvidence = bucket === 0 ? 0 : this.ageEvidence[bucket - 1];
+      this.ageEvidence[bucket] = Math.max(evidence, previousEvidence);
+      // Unanswered requests of an age are as frequent as answers that take longer than it.
+      const survivalShare = Math.max(0, survival[bucket] - floor);
+      const weightMs = survivalShare * (getBucketEnd(bucket) - getBucketEnd(bucket - 1));
+      totalWeightMs += weightMs;
+      weightedEvidence += weightMs * this.ageEvidence[bucket];
       this.answerEvidence[bucket] = Math.max(
         -2,
-        Math.min(4, Math.log(share(bucket - SHIFT) / share(bucket))),
+        Math.min(4, Math.log(share(bucket - SLOW_SHIFT_BUCKETS) / share(bucket))),
       );
     }
-    this.usualAgeEvidence = evidenceTime / ageTime;
+    this.meanAgeEvidence = weightedEvidence / totalWeightMs;
   }
 }
--- a/src/core/targets/TargetsState.ts
+++ b/src/core/targets/TargetsState.ts
@@ -11,91 +11,95 @@
 } from '../model/index.js';
 import { LatencyDistribution } from './LatencyDistribution.js';
 
-/** A request that this process has sent to a target and whose slot is not free yet. */
+/** An attempt at a target that has not ended, so its slot is not free yet. */
 export interface OutstandingAttempt {
   readonly startedAt: number;
-  /** What the request is known by if its target dies. */
+  /** Fingerprint of the request, by which crash suspects are identified. */
   readonly fingerprint: string;
-  /** The answer's head is here: only the body is still coming. */
+  /** Whether the head of the answer has arrived; the body may still be incomplete. */
   answered: boolean;
-  /** Its target was seen to die while holding it; its own end tells of no second death. */
+  /** Whether its target died while holding it; its own end then doesn't count as another death. */
   lost: boolean;
-  /** Cancelled since this process's lease ran out. */
+  /** Whether it was cancelled because this process's lease expired. */
   recalled: boolean;
 }
 
-/** Why a target that this process drives gets nothing new. */
-export type TargetHold =
-  /** It said that it drains. */
+/** Why a target gets no new requests, independent of its free slots. */
+export type HoldReason =
+  /** The target reported that it is draining. */
   | 'draining'
-  /** It was taken out of its service, or its partition went to another entry VM. */
+  /** It was removed from its service, or its partition went to another entry VM. */
   | 'removed';
 
-/** A target as its holder knows it. */
-export interface TargetRecord {
+/** A target that this process holds, with its limit, health and outstanding attempts. */
+export interface LocalTarget {
   config: TargetConfig;
-  /** Its service's file as in force. */
+  /** Configuration of its service that is in force. */
   service: ServiceConfig;
   readonly partition: PartitionId;
   phase: TargetPhase;
-  /** Requests this process may have outstanding there; at most the declared slots. */
+  /** Requests that may be outstanding at the target; at most its declared slots. */
   limit: number;
   readonly outstanding: Map<AttemptId, OutstandingAttempt>;
-  hold?: TargetHold;
-  /** When it was last taken for cold: earlier requests' answers don't speak for it. */
+  /** Set while it gets no new requests, whatever its limit and health. */
+  hold?: HoldReason;
+  /** When it last became cold; answers to earlier requests are no evidence of its state. */
   coldSince: number;
   /** Good answers since the limit last changed. */
   goodAnswers: number;
-  /** Evidence from answers that the target is slow; see `slowness`. */
+  /** Log likelihood ratio, from answers, that the target is slow; see `slowness`. */
   slowScore: number;
-  /** Seen as slow now: it gets nothing new until what it holds has been answered. */
+  /** Whether it counts as slow; it gets no new requests until those outstanding are answered. */
   slow: boolean;
-  /** Failures in a row: no connection, a reset, or an error of its own. */
+  /** Consecutive failures: no connection, a reset, a failed probe, an error answer or a refusal. */
   failures: number;
-  /** Gets nothing new before this time, after failures; monotonic milliseconds. */
+  /** End of the backoff after failures; no new requests before it; monotonic milliseconds. */
   avoidUntil: number;
-  /** Process of the target that answered last, by its report. */
+  /** Identifies the run of the target's process, by its last report. */
   bootId?: string;
-  /** Reports about requests sent before this time speak of an earlier process of the target. */
+  /** Answers to requests sent before this time may come from an earlier run of its process. */
   bootSince: number;
+  /** When a load report last lowered the limit; monotonic milliseconds. */
   loadLoweredAt: number;
-  /** Requests that the last holder still has there, and when they must be over. */
+  /** Requests that the previous holder still has there, and when they must have ended. */
   inherited: number;
   inheritedUntil: number;
+  /** Open connections to the target, as reported by the adapter. */
   connections: number;
-  /** Whether the adapter tells of this target's connections. */
+  /** Whether the adapter has reported a connection of this target. */
   connectionsKnown: boolean;
-  /** Last time a request or probe was sent or answered; monotonic milliseconds. */
+  /** When a request or probe was last sent or answered; monotonic milliseconds. */
   usedAt: number;
+  /** Whether a probe is outstanding. */
   probing: boolean;
-  /** Slot time that probes may take now, in milliseconds, and when it was reckoned. */
+  /** Slot time that probes may take now, in milliseconds, and when it was last refilled. */
   probeBudgetMs: number;
   probeBudgetAt: number;
-  /** Request that waits for this target to be empty, to run on it alone. */
+  /** Request that waits until this target has no other requests, to run on it alone. */
   reservedFor?: number;
-  /** Attempt that runs alone here. */
+  /** Attempt that runs alone on this target. */
   alone?: AttemptId;
 }
 
-/** What the last holder told of a target, kept until this process drives it. */
+/** Handover of a target by its previous holder, kept until this process holds the target. */
 export interface PendingHandover {
-  readonly told: TargetHandover;
-  readonly heardAt: number;
+  readonly handover: TargetHandover;
+  readonly receivedAt: number;
 }
 
-/** The targets in this process's partitions. */
+/** State of the targets in this process's partitions. */
 export interface TargetsState {
-  /** All that this process drives, and those let go that still hold requests. */
-  readonly records: Map<TargetId, TargetRecord>;
-  /** Those that may get new requests, by service. */
-  readonly byService: Map<ServiceName, TargetRecord[]>;
+  /** Targets that this process holds, and released ones that still have requests outstanding. */
+  readonly records: Map<TargetId, LocalTarget>;
+  /** Targets that this process holds, by service; without released ones. */
+  readonly byService: Map<ServiceName, LocalTarget[]>;
   readonly latencies: Map<ServiceName, LatencyDistribution>;
   readonly handovers: Map<TargetId, PendingHandover>;
-  /** Zones that were out at the last look. */
+  /** Zones that were out when the configuration was last adopted. */
   readonly zonesOut: Set<ZoneName>;
 }
 
-/** Makes the state of a process that drives no target. */
+/** Creates the state of a process that holds no target. */
 export function createTargetsState(): TargetsState {
   return {
     records: new Map(),
--- a/src/core/targets/chooseTarget.ts
+++ b/src/core/targets/chooseTarget.ts
@@ -3,37 +3,33 @@
 import { isFresh } from '../fleet/index.js';
 import type { ServiceName, TargetId } from '../model/index.js';
 import { getFreeSlots } from './getFreeSlots.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** Warm targets go before those in cold start: the latter take longer. */
-function isBetter(
-  record: TargetRecord,
-  free: number,
-  best: TargetRecord,
-  bestFree: number,
-): boolean {
+/** Prefers warm targets, since those in cold start take longer, and then more free slots. */
+function isBetter(record: LocalTarget, free: number, best: LocalTarget, bestFree: number): boolean {
   const isWarm = record.phase === 'warm';
   if (isWarm !== (best.phase === 'warm')) return isWarm;
   return free > bestFree;
 }
 
 /**
- * The target of a service with the most free slots, if this process may send to any.
+ * Chooses the target of a service with the most free slots, a warm one if possible; undefined if no
+ * slot is free or this process's configuration may be outdated.
  * @param state - The process's state.
  * @param service - The service's name.
  * @param now - Monotonic milliseconds.
- * @param tried - Targets that the request went to before; taken only if there is no other.
+ * @param tried - Targets that the request was sent to before; chosen only if there is no other.
  */
 export function chooseTarget(
   state: EntryState,
   service: ServiceName,
   now: number,
   tried?: readonly TargetId[],
-): TargetRecord | undefined {
+): LocalTarget | undefined {
   if (!isFresh(state, now)) return undefined;
-  let best: TargetRecord | undefined;
+  let best: LocalTarget | undefined;
   let bestFree = 0;
-  let fallback: TargetRecord | undefined;
+  let fallback: LocalTarget | undefined;
   for (const record of state.targets.byService.get(service) ?? []) {
     const free = record.reservedFor === undefined ? getFreeSlots(state, record, now) : 0;
     if (free === 0 || isZoneOut(state, record.config.zone)) continue;
--- a/src/core/targets/coldStart.ts
+++ b/src/core/targets/coldStart.ts
@@ -1,20 +1,21 @@
 import type { Effect } from '../effects.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** Why a target counts as cold; a label of the metric. */
+/** Why a target became cold; a label of `masticlink_target_cold_total`. */
 export type ColdReason =
   'new' | 'reset' | 'restarted' | 'shed-while-slow' | 'unreachable' | 'zone-back';
 
 /**
- * Takes a target for cold: one request and one new connection at a time until it answers well.
+ * Marks a target as cold: it gets one request and one new connection at a time until it answers
+ * well.
  *
- * A target that restarted, or whose caches are gone, bears a fraction of its declared slots and
- * falls over under all of them; seen as a burst of resets just after it came back.
+ * A target that has restarted or lost its caches can serve only a fraction of its declared slots.
+ * Under full load it fails again, with a burst of resets just after it came back.
  * @param record - The target.
- * @param reason - Why.
- * @param now - Monotonic milliseconds; answers to requests sent earlier say nothing of it any more.
+ * @param reason - Why it became cold.
+ * @param now - Monotonic milliseconds; answers to requests sent before no longer count.
  */
-export function turnCold(record: TargetRecord, reason: ColdReason, now: number): Effect[] {
+export function turnCold(record: LocalTarget, reason: ColdReason, now: number): Effect[] {
   const wasCold = record.phase === 'cold';
   record.coldSince = now;
   record.phase = 'cold';
@@ -34,7 +35,7 @@
       kind: 'log',
       level: 'info',
       part: 'targets',
-      text: `${record.config.id} counts as cold: ${reason}`,
+      text: `${record.config.id} is cold and starts with one request at a time: ${reason}`,
     },
   ];
 }
--- a/src/core/targets/failures.ts
+++ b/src/core/targets/failures.ts
@@ -1,40 +1,41 @@
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** First pause after a failure, in milliseconds; doubled with each further one. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 2_000;
-/** Errors of a target's own, such as status 500, that are borne before it is paused. */
-const ERRORS_BORNE = 3;
+/** Backoff after the first failure, in milliseconds; doubled with each further one in a row. */
+const MIN_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 2_000;
+/** Number of consecutive failures from which an error answer or refusal also causes a backoff. */
+const ERROR_BACKOFF_THRESHOLD = 3;
 
 /**
- * Pauses a target after a failure, longer with each in a row.
+ * Backs off from a target after a failure, exponentially with consecutive failures.
  *
- * A target that fails fast always has free slots, so that without a pause it would draw and fail
- * most requests of its service; seen as one dead target spoiling far more than its share.
+ * A target that fails fast always has free slots. Without a backoff one dead target would attract,
+ * and fail, far more than its share of the service's requests.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
-export function noteFailure(record: TargetRecord, now: number): void {
+export function recordFailure(record: LocalTarget, now: number): void {
   record.failures += 1;
-  const pause = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (record.failures - 1));
-  record.avoidUntil = now + pause;
+  const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** (record.failures - 1));
+  record.avoidUntil = now + backoffMs;
 }
 
 /**
- * An answer by which the target says that it failed, such as status 500: some are borne.
+ * Records an answer by which the target refused or failed, such as status 500. The first ones in a
+ * row cause no backoff.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
-export function noteErrorAnswer(record: TargetRecord, now: number): void {
-  if (record.failures + 1 < ERRORS_BORNE) record.failures += 1;
-  else noteFailure(record, now);
+export function recordErrorAnswer(record: LocalTarget, now: number): void {
+  if (record.failures + 1 < ERROR_BACKOFF_THRESHOLD) record.failures += 1;
+  else recordFailure(record, now);
 }
 
 /**
- * The target answered as it should.
+ * Ends the backoff after the target answered as expected.
  * @param record - The target.
  */
-export function clearFailures(record: TargetRecord): void {
+export function clearFailures(record: LocalTarget): void {
   record.failures = 0;
   record.avoidUntil = 0;
 }
--- a/src/core/targets/handover.ts
+++ b/src/core/targets/handover.ts
@@ -3,52 +3,58 @@
 import type { EntryState } from '../EntryState.js';
 import type { MessageHandler } from '../Handler.js';
 import type { PartitionId, TargetHandover } from '../model/index.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** What was told of a target is forgotten after so long, in milliseconds. */
-const HANDOVER_KEPT_MS = 10_000;
+/** How long a handover is kept for a target that this process doesn't hold, in milliseconds. */
+const HANDOVER_TTL_MS = 10_000;
 
 /**
- * What the next holder of a partition should know of its targets.
+ * Returns the state of a partition's targets that the next holder needs.
  * @param state - The process's state.
- * @param partition - The partition that this process lets go.
+ * @param partition - The partition that this process releases.
  * @example
  * const targets = getHandover(state, 'zone-a/3');
  */
 export function getHandover(state: EntryState, partition: PartitionId): TargetHandover[] {
-  const out: TargetHandover[] = [];
+  const handovers: TargetHandover[] = [];
   for (const record of state.targets.records.values()) {
     if (record.partition !== partition) continue;
-    out.push({
+    handovers.push({
       target: record.config.id,
       phase: record.phase,
       limit: record.limit,
       outstanding: record.outstanding.size,
     });
   }
-  return out;
+  return handovers;
 }
 
 /**
- * Starts a target that this process just took up where its last holder left off. Untold, it stays
- * cold: a target that nobody vouches for may have restarted.
+ * Continues a newly held target with the phase and limit that its previous holder handed over.
+ * Requests that the previous holder still has there take slots until they must have ended. Without
+ * a handover a target stays cold, because it may have restarted.
  * @param record - The target.
- * @param told - What its last holder told.
+ * @param handover - What its previous holder handed over.
  * @param now - Monotonic milliseconds.
  */
-export function inheritTarget(record: TargetRecord, told: TargetHandover, now: number): void {
-  record.inherited = told.outstanding;
+export function applyTargetHandover(
+  record: LocalTarget,
+  handover: TargetHandover,
+  now: number,
+): void {
+  record.inherited = handover.outstanding;
   record.inheritedUntil = now + record.service.timeoutMs;
   if (record.failures > 0 || record.phase !== 'cold') return;
-  record.phase = told.phase;
-  record.limit = Math.max(1, Math.min(told.limit, record.service.capacity.slots));
+  record.phase = handover.phase;
+  record.limit = Math.max(1, Math.min(handover.limit, record.service.capacity.slots));
 }
 
 /**
- * Takes over what the last holder knew of some targets.
+ * Applies the handover of targets by their previous holder, or keeps it for targets that this
+ * process doesn't hold yet.
  * @param state - The process's state.
- * @param targets - What the last holder told.
- * @param context - Time and chance.
+ * @param targets - What the previous holder handed over.
+ * @param context - Current time and random source.
  * @example
  * const effects = applyHandover(state, message.targets, context);
  */
@@ -57,36 +63,36 @@
   targets: readonly TargetHandover[],
   context: Context,
 ): Effect[] {
-  for (const told of targets) {
-    const record = state.targets.records.get(told.target);
+  for (const handover of targets) {
+    const record = state.targets.records.get(handover.target);
     if (record !== undefined && record.hold !== 'removed') {
-      inheritTarget(record, told, context.now);
+      applyTargetHandover(record, handover, context.now);
     } else {
-      state.targets.handovers.set(told.target, { told, heardAt: context.now });
+      state.targets.handovers.set(handover.target, { handover, receivedAt: context.now });
     }
   }
   return [];
 }
 
 /**
- * Forgets what was told of targets that this process never took up.
+ * Forgets handovers of targets that this process did not come to hold in time.
  * @param state - The process's state.
  * @param now - Monotonic milliseconds.
  */
 export function expireHandovers(state: EntryState, now: number): void {
-  for (const [target, { heardAt }] of state.targets.handovers) {
-    if (now - heardAt > HANDOVER_KEPT_MS) state.targets.handovers.delete(target);
+  for (const [target, { receivedAt }] of state.targets.handovers) {
+    if (now - receivedAt > HANDOVER_TTL_MS) state.targets.handovers.delete(target);
   }
 }
 
-/** The last holder of a target has fewer requests there than it had told. */
-export const handleDrained: MessageHandler<'handoverDrained'> = (state, _from, message) => {
+/** Handles a message of the previous holder that it has fewer requests left at a target. */
+export const handleHandoverDrained: MessageHandler<'handoverDrained'> = (state, _from, message) => {
   const record = state.targets.records.get(message.target);
   if (record !== undefined) record.inherited = Math.min(record.inherited, message.outstanding);
   const pending = state.targets.handovers.get(message.target);
-  if (pending !== undefined && message.outstanding < pending.told.outstanding) {
-    const told = { ...pending.told, outstanding: message.outstanding };
-    state.targets.handovers.set(message.target, { ...pending, told });
+  if (pending !== undefined && message.outstanding < pending.handover.outstanding) {
+    const handover = { ...pending.handover, outstanding: message.outstanding };
+    state.targets.handovers.set(message.target, { ...pending, handover });
   }
   return [];
 };
--- a/src/core/targets/index.ts
+++ b/src/core/targets/index.ts
@@ -1,13 +1,13 @@
 export { chooseTarget } from './chooseTarget.js';
-export { getFreeSlots, isHeldBack } from './getFreeSlots.js';
+export { getFreeSlots, isUnavailable } from './getFreeSlots.js';
 export { applyHandover, getHandover } from './handover.js';
 export { getLatencies, getMeanLatency } from './latencies.js';
 export type { LatencyDistribution } from './LatencyDistribution.js';
-export { maySendTo } from './maySendTo.js';
+export { canSendTo } from './canSendTo.js';
 export { releaseReservation, reserveTarget } from './reserveTarget.js';
-export { beginSending, endSending, noteTargetAnswer } from './sendings.js';
-export type { AnswerVerdict, EndedSending } from './sendings.js';
+export { recordAttemptStarted, recordAttemptEnded, recordTargetAnswer } from './targetAttempts.js';
+export type { AnswerClass, EndedAttempt } from './targetAttempts.js';
 export { isSlowTarget } from './slowness.js';
 export { targetsPart } from './targetsPart.js';
 export { createTargetsState } from './TargetsState.js';
-export type { OutstandingAttempt, TargetRecord, TargetsState } from './TargetsState.js';
+export type { OutstandingAttempt, LocalTarget, TargetsState } from './TargetsState.js';
--- a/src/core/targets/latencies.ts
+++ b/src/core/targets/latencies.ts
@@ -2,11 +2,11 @@
 import type { ServiceName } from '../model/index.js';
 import { LatencyDistribution } from './LatencyDistribution.js';
 
-/** Taken for a service's mean time before any answer, in milliseconds. */
-const UNKNOWN_MEAN_MS = 20;
+/** Mean latency assumed for a service before the first answer, in milliseconds. */
+const DEFAULT_MEAN_MS = 20;
 
 /**
- * How long the targets of a service take, as seen by this process.
+ * Returns the latency distribution of a service as observed by this process, empty on first use.
  * @param state - The process's state.
  * @param service - The service's name.
  */
@@ -20,10 +20,10 @@
 }
 
 /**
- * Mean time a target of a service takes, in milliseconds; a guess before the first answer.
+ * Mean latency of a service's targets, in milliseconds; a default before the first answer.
  * @param state - The process's state.
  * @param service - The service's name.
  */
 export function getMeanLatency(state: EntryState, service: ServiceName): number {
-  return getLatencies(state, service).mean ?? UNKNOWN_MEAN_MS;
+  return getLatencies(state, service).mean ?? DEFAULT_MEAN_MS;
 }
--- a/src/core/targets/limits.ts
+++ b/src/core/targets/limits.ts
@@ -1,11 +1,11 @@
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
 /**
- * A good answer: a target in cold start doubles its limit after as many as the limit, a warm one
- * that was cut back gains one slot. The declared slots are the ceiling.
+ * Counts a good answer. After as many good answers as its limit, a target in cold start doubles the
+ * limit and a warm target whose limit was lowered gains one slot, up to the declared slots.
  * @param record - The target.
  */
-export function raiseLimit(record: TargetRecord): void {
+export function raiseLimit(record: LocalTarget): void {
   const { slots } = record.service.capacity;
   record.goodAnswers += 1;
   if (record.limit >= slots) {
@@ -20,10 +20,10 @@
 }
 
 /**
- * The target refused work or is slow: half the limit, at least one request.
+ * Halves the limit of a target that refused work, timed out or is slow, down to one request.
  * @param record - The target.
  */
-export function halveLimit(record: TargetRecord): void {
+export function halveLimit(record: LocalTarget): void {
   record.limit = Math.max(1, Math.floor(record.limit / 2));
   record.goodAnswers = 0;
 }
--- a/src/core/targets/loadReports.ts
+++ b/src/core/targets/loadReports.ts
@@ -1,31 +1,34 @@
 import type { Effect } from '../effects.js';
 import type { LoadReport } from '../events.js';
 import { turnCold } from './coldStart.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** Reported load from which a target counts as full. */
+/** Reported load, as a share of its slots, from which a target counts as full. */
 const FULL_LOAD = 0.9;
-/** Least time between two cuts by reports, in milliseconds: reports repeat themselves. */
-const LOWER_EVERY_MS = 100;
+/** Shortest time between two reductions by reports, in milliseconds: reports are repeated. */
+const MIN_LOWER_INTERVAL_MS = 100;
 
-/** A report may lower a limit, to half of the slots at most: it is stale, or plainly wrong. */
-function lowerByLoad(record: TargetRecord, load: number, now: number): void {
+/**
+ * Lowers the limit by one if the target reports a full load that the requests of this process don't
+ * explain. Reports may be stale or wrong, so they never lower it below half of the slots.
+ */
+function lowerLimitByLoad(record: LocalTarget, load: number, now: number): void {
   const { slots } = record.service.capacity;
-  const isFullOfOthers = load >= FULL_LOAD && record.outstanding.size * 2 < slots;
-  if (!isFullOfOthers || now - record.loadLoweredAt < LOWER_EVERY_MS) return;
+  const isLoadedByOthers = load >= FULL_LOAD && record.outstanding.size * 2 < slots;
+  if (!isLoadedByOthers || now - record.loadLoweredAt < MIN_LOWER_INTERVAL_MS) return;
   record.loadLoweredAt = now;
   record.limit = Math.min(record.limit, Math.max(Math.ceil(slots / 2), record.limit - 1));
 }
 
 /**
- * Takes in what a target says of itself.
+ * Applies a target's report about itself: its boot id, whether it is draining, and its load.
  * @param record - The target.
- * @param report - What it says.
- * @param sentAt - When the request or probe that brought the report was sent.
+ * @param report - The report.
+ * @param sentAt - When the request or probe that returned the report was sent.
  * @param now - Monotonic milliseconds.
  */
 export function applyLoadReport(
-  record: TargetRecord,
+  record: LocalTarget,
   report: LoadReport,
   sentAt: number,
   now: number,
@@ -43,9 +46,9 @@
       kind: 'log',
       level: 'info',
       part: 'targets',
-      text: `${record.config.id} drains: it gets nothing new`,
+      text: `${record.config.id} is draining: it gets no new requests`,
     });
   }
-  if (report.load !== undefined) lowerByLoad(record, report.load, now);
+  if (report.load !== undefined) lowerLimitByLoad(record, report.load, now);
   return effects;
 }
--- a/src/core/targets/probes.ts
+++ b/src/core/targets/probes.ts
@@ -5,29 +5,30 @@
 import { isFresh, mayDrive } from '../fleet/index.js';
 import type { EventOf } from '../Handler.js';
 import { turnCold } from './coldStart.js';
-import { clearFailures, noteFailure } from './failures.js';
+import { clearFailures, recordFailure } from './failures.js';
 import { getMeanLatency } from './latencies.js';
 import { applyLoadReport } from './loadReports.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
-const MIN_TIMEOUT_MS = 200;
-/** A probe may take this many times the service's mean time. */
-const TIMEOUT_FACTOR = 10;
+/** Shortest timeout of a probe, in milliseconds. */
+const MIN_PROBE_TIMEOUT_MS = 200;
+/** Timeout of a probe as a multiple of the service's mean latency. */
+const PROBE_TIMEOUT_FACTOR = 10;
 
 /**
- * Adds to a target's probe budget: the declared share of its slot time since the last reckoning, at
- * most one probe's worth. The holder alone probes and starts with nothing, so the share bounds all
- * probes of the fleet over any time, hand-overs and restarts included.
+ * Refills a target's probe budget by the declared share of its slot time since the last refill, up
+ * to the cost of one probe. Only the holder probes, and it starts with an empty budget, so the
+ * share bounds the probes of the whole fleet over any period, including handovers and restarts.
  */
-function accrue(record: TargetRecord, now: number): void {
+function refillProbeBudget(record: LocalTarget, now: number): void {
   const { probe, capacity } = record.service;
-  const gained = (now - record.probeBudgetAt) * probe.budgetShare * capacity.slots;
-  record.probeBudgetMs = Math.min(probe.costMs, record.probeBudgetMs + gained);
+  const earnedMs = (now - record.probeBudgetAt) * probe.budgetShare * capacity.slots;
+  record.probeBudgetMs = Math.min(probe.costMs, record.probeBudgetMs + earnedMs);
   record.probeBudgetAt = now;
 }
 
-/** A probe is of use only where no request tells as much and one does no harm. */
-function wantsProbe(state: EntryState, record: TargetRecord, now: number): boolean {
+/** Whether a target may be probed: only while idle, since requests give the same information. */
+function shouldProbe(state: EntryState, record: LocalTarget, now: number): boolean {
   if (record.probing || record.outstanding.size > 0 || record.hold === 'removed') return false;
   if (now < record.inheritedUntil && record.inherited > 0) return false;
   if (now - record.usedAt < record.service.probe.idleMs) return false;
@@ -35,12 +36,15 @@
   return mayDrive(state, record.partition, now);
 }
 
-function startProbe(state: EntryState, record: TargetRecord, now: number): Effect[] {
+function startProbe(state: EntryState, record: LocalTarget, now: number): Effect[] {
   const { probe, name } = record.service;
   record.probeBudgetMs -= probe.costMs;
   record.probing = true;
   record.usedAt = now;
-  const timeoutMs = Math.max(MIN_TIMEOUT_MS, getMeanLatency(state, name) * TIMEOUT_FACTOR);
+  const timeoutMs = Math.max(
+    MIN_PROBE_TIMEOUT_MS,
+    getMeanLatency(state, name) * PROBE_TIMEOUT_FACTOR,
+  );
   const { id: target, address } = record.config;
   return [
     { kind: 'probe', target, address, path: probe.path, timeoutMs },
@@ -49,24 +53,27 @@
 }
 
 /**
- * Probes targets that no request went to lately, as far as their budgets go.
+ * Probes targets that have been idle for the configured time, within their probe budgets.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function probeIdleTargets(state: EntryState, context: Context): Effect[] {
   const { now } = context;
   if (!isFresh(state, now)) return [];
   const effects: Effect[] = [];
   for (const record of state.targets.records.values()) {
-    accrue(record, now);
+    refillProbeBudget(record, now);
     const { costMs } = record.service.probe;
-    if (record.probeBudgetMs < costMs || !wantsProbe(state, record, now)) continue;
+    if (record.probeBudgetMs < costMs || !shouldProbe(state, record, now)) continue;
     effects.push(...startProbe(state, record, now));
   }
   return effects;
 }
 
-/** What a probe told. It may end a pause or a drain, but never raises a limit: reports mislead. */
+/**
+ * Handles the result of a probe. It may end a backoff or a drain but never raises a limit, since
+ * reports may be misleading.
+ */
 export function handleProbeEnded(
   state: EntryState,
   event: EventOf<'probeEnded'>,
@@ -90,7 +97,7 @@
     }
     return effects;
   }
-  noteFailure(record, now);
+  recordFailure(record, now);
   if (event.end === 'unhealthy') {
     return event.load === undefined ? [] : applyLoadReport(record, event.load, sentAt, now);
   }
--- a/src/core/targets/refreshTargets.ts
+++ b/src/core/targets/refreshTargets.ts
@@ -3,16 +3,16 @@
 import type { EntryState } from '../EntryState.js';
 import { getPartition } from '../fleet/index.js';
 import type { PartitionId, ServiceConfig, ServiceName, TargetConfig } from '../model/index.js';
-import { inheritTarget } from './handover.js';
-import type { TargetRecord } from './TargetsState.js';
+import { applyTargetHandover } from './handover.js';
+import type { LocalTarget } from './TargetsState.js';
 
-/** A target that this process has only just come to drive: unknown counts as cold. */
-function createRecord(
+/** Creates the record of a newly held target. It starts cold, because its state is unknown. */
+function createLocalTarget(
   config: TargetConfig,
   service: ServiceConfig,
   partition: PartitionId,
   now: number,
-): TargetRecord {
+): LocalTarget {
   return {
     config,
     service,
@@ -34,14 +34,14 @@
     connectionsKnown: false,
     usedAt: now,
     probing: false,
-    // Empty at first: a new holder has no part in what the last one saved up.
+    // Starts empty: budget that the previous holder saved up is not carried over.
     probeBudgetMs: 0,
     probeBudgetAt: now,
   };
 }
 
-/** Brings a target back that was let go while it still held requests; they stay counted. */
-function takeBack(record: TargetRecord, now: number): void {
+/** Resumes a target that was removed while requests were outstanding; they still take slots. */
+function reactivateTarget(record: LocalTarget, now: number): void {
   record.hold = undefined;
   record.phase = 'cold';
   record.coldSince = now;
@@ -51,20 +51,20 @@
   record.probeBudgetAt = now;
 }
 
-function takeUp(
+function refreshTarget(
   state: EntryState,
   service: ServiceConfig,
   config: TargetConfig,
   now: number,
-): TargetRecord | undefined {
+): LocalTarget | undefined {
   const { targets, fleet, settings } = state;
   const partition = getPartition(settings, config);
   if (!fleet.granted.has(partition)) return undefined;
   const known = targets.records.get(config.id);
-  const isSame = known?.config.address === config.address && known.partition === partition;
+  const isUnchanged = known?.config.address === config.address && known.partition === partition;
   const record =
-    known !== undefined && isSame ? known : createRecord(config, service, partition, now);
-  if (record.hold === 'removed') takeBack(record, now);
+    known !== undefined && isUnchanged ? known : createLocalTarget(config, service, partition, now);
+  if (record.hold === 'removed') reactivateTarget(record, now);
   record.config = config;
   record.service = service;
   record.limit = Math.min(record.limit, service.capacity.slots);
@@ -72,34 +72,34 @@
   const pending = targets.handovers.get(config.id);
   if (pending !== undefined) {
     targets.handovers.delete(config.id);
-    inheritTarget(record, pending.told, now);
+    applyTargetHandover(record, pending.handover, now);
   }
   return record;
 }
 
 /**
- * Brings the targets of a service in line with its configuration and the partitions held. A target
- * no longer named gets nothing new at once; what is outstanding there ends.
+ * Updates the targets of a service to its configuration and the partitions that this process holds.
+ * A target that is no longer listed gets no new requests; those outstanding there may finish.
  * @param state - The process's state.
  * @param name - The service's name.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function refreshService(state: EntryState, name: ServiceName, context: Context): void {
   const { targets } = state;
   const service = getService(state, name);
   const configs = service === undefined ? [] : getTargetsOf(state, name);
-  const kept: TargetRecord[] = [];
+  const heldTargets: LocalTarget[] = [];
   for (const config of configs) {
-    const record = service && takeUp(state, service, config, context.now);
-    if (record !== undefined) kept.push(record);
+    const record = service && refreshTarget(state, service, config, context.now);
+    if (record !== undefined) heldTargets.push(record);
   }
   for (const record of targets.byService.get(name) ?? []) {
-    if (!kept.includes(record)) record.hold = 'removed';
+    if (!heldTargets.includes(record)) record.hold = 'removed';
   }
   if (service === undefined) {
     targets.byService.delete(name);
     targets.latencies.delete(name);
   } else {
-    targets.byService.set(name, kept);
+    targets.byService.set(name, heldTargets);
   }
 }
--- a/src/core/targets/reserveTarget.ts
+++ b/src/core/targets/reserveTarget.ts
@@ -2,30 +2,31 @@
 import type { EntryState } from '../EntryState.js';
 import { isFresh } from '../fleet/index.js';
 import type { RequestId, ServiceName } from '../model/index.js';
-import { isHeldBack } from './getFreeSlots.js';
-import type { TargetRecord } from './TargetsState.js';
+import { isUnavailable } from './getFreeSlots.js';
+import type { LocalTarget } from './TargetsState.js';
 
 function findReserved(
-  records: readonly TargetRecord[],
+  records: readonly LocalTarget[],
   request: RequestId,
-): TargetRecord | undefined {
+): LocalTarget | undefined {
   return records.find((record) => record.reservedFor === request);
 }
 
 /**
- * Reserves a target on which a request is to run alone, and gives it once it is empty.
+ * Reserves the target with the fewest outstanding requests for a request that is to run alone. Call
+ * it again until the target is empty.
  * @param state - The process's state.
  * @param service - The service's name.
  * @param request - The request that is suspected of crashing targets.
  * @param now - Monotonic milliseconds.
- * @returns The target if the request may be sent there now.
+ * @returns The reserved target if the request may be sent there now.
  */
 export function reserveTarget(
   state: EntryState,
   service: ServiceName,
   request: RequestId,
   now: number,
-): TargetRecord | undefined {
+): LocalTarget | undefined {
   if (!isFresh(state, now)) return undefined;
   const records = state.targets.byService.get(service) ?? [];
   let record = findReserved(records, request);
@@ -34,7 +35,7 @@
       (each) =>
         each.reservedFor === undefined &&
         !isZoneOut(state, each.config.zone) &&
-        !isHeldBack(state, each, now),
+        !isUnavailable(state, each, now),
     );
     [record] = usable.sort((a, b) => a.outstanding.size - b.outstanding.size);
     if (record === undefined) return undefined;
@@ -42,14 +43,14 @@
   }
   const inherited = now < record.inheritedUntil ? record.inherited : 0;
   const isEmpty = record.outstanding.size + inherited === 0 && !record.probing;
-  return isEmpty && !isHeldBack(state, record, now) ? record : undefined;
+  return isEmpty && !isUnavailable(state, record, now) ? record : undefined;
 }
 
 /**
- * Gives a reservation back.
+ * Releases the reservation of a request, if it has one.
  * @param state - The process's state.
  * @param service - The service's name.
- * @param request - The request it was made for.
+ * @param request - The request that it was made for.
  */
 export function releaseReservation(
   state: EntryState,
--- a/src/core/targets/zoneReturn.ts
+++ b/src/core/targets/returnedZones.ts
@@ -6,14 +6,14 @@
 import { turnCold } from './coldStart.js';
 
 /**
- * Takes the targets of each zone that has come back for cold.
+ * Marks the targets of each zone that has returned to service as cold.
  *
- * What operators do to a zone while it is out is not told to us: its targets may have restarted,
- * and would fall over under the load that they had before; seen as resets just after the return.
+ * The process doesn't know what operators did while a zone was out. Its targets may have restarted,
+ * and would fail under their earlier load, with resets just after the zone's return.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function coolReturnedZones(state: EntryState, context: Context): Effect[] {
+export function turnReturnedZonesCold(state: EntryState, context: Context): Effect[] {
   const { zonesOut, records } = state.targets;
   const returned = new Set<ZoneName>();
   for (const zone of zonesOut) if (!isZoneOut(state, zone)) returned.add(zone);
--- a/src/core/targets/slowness.ts
+++ b/src/core/targets/slowness.ts
@@ -2,36 +2,36 @@
 import type { TargetId } from '../model/index.js';
 import type { LatencyDistribution } from './LatencyDistribution.js';
 import { halveLimit } from './limits.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
 /**
- * Log likelihood ratio from which a target is taken for slow, and what each of its slots adds: the
- * more requests are out, the more of them are long by chance.
+ * Log likelihood ratio from which a target counts as slow, and the amount that each of its slots
+ * adds: the more requests are outstanding, the more of them are long by chance.
  */
-const SLOW_EVIDENCE = 4;
-const SLOW_EVIDENCE_PER_SLOT = 0.5;
-/** Answers in the usual time speak for a target no more than this. */
-const LEAST_SCORE = -2;
-/** What is left of the evidence once nothing unanswered is out: one request may try the target. */
+const SLOW_THRESHOLD = 4;
+const SLOW_THRESHOLD_PER_SLOT = 0.5;
+/** Lower bound of the score, so that many normal answers don't hide a later slowdown. */
+const MIN_SCORE = -2;
+/** A slow target gets requests again at this evidence or less, with at most this score. */
 const TRIAL_SCORE = 2;
 
-function getThreshold(record: TargetRecord): number {
-  return SLOW_EVIDENCE + SLOW_EVIDENCE_PER_SLOT * record.service.capacity.slots;
+function getSlowThreshold(record: LocalTarget): number {
+  return SLOW_THRESHOLD + SLOW_THRESHOLD_PER_SLOT * record.service.capacity.slots;
 }
 
 /**
- * Brings a target's slowness up to date by the age of what it has not answered.
+ * Updates whether a target counts as slow, from its score and the ages of its unanswered requests.
  *
- * A target that turns five times slower answers nothing for a while, so its answers tell too late;
- * seen as every slot of it filled with requests that then miss the service's objective. The ages of
- * what is outstanding tell at once, weighed against the service's own distribution: one long request
- * among quick ones is no evidence, all slots standing still is.
+ * A target that becomes five times slower answers nothing for a while. By the time its answers show
+ * it, all of its slots are filled with requests that miss the service's objective. The ages of the
+ * outstanding requests show it early, compared with the service's latency distribution: one long
+ * request among quick ones is not enough, long requests in all slots are.
  * @param record - The target.
- * @param latencies - Times of the target's service.
+ * @param latencies - Latency distribution of the target's service.
  * @param now - Monotonic milliseconds.
  */
-export function updateSlowness(
-  record: TargetRecord,
+export function updateSlowFlag(
+  record: LocalTarget,
   latencies: LatencyDistribution,
   now: number,
 ): void {
@@ -42,7 +42,7 @@
     unanswered += 1;
     evidence += latencies.getAgeEvidence(now - attempt.startedAt);
   }
-  if (evidence >= getThreshold(record) && unanswered > 0) {
+  if (evidence >= getSlowThreshold(record) && unanswered > 0) {
     if (record.slow) return;
     record.slow = true;
     halveLimit(record);
@@ -58,24 +58,24 @@
 }
 
 /**
- * Adds what an answer's time says to a target's score.
+ * Adds the evidence from an answer's latency to a target's slow score.
  * @param record - The target.
- * @param latencies - Times of the target's service.
+ * @param latencies - Latency distribution of the target's service.
  * @param ms - Time from sending to the answer's head, in milliseconds.
  */
-export function scoreAnswer(
-  record: TargetRecord,
+export function updateSlowScore(
+  record: LocalTarget,
   latencies: LatencyDistribution,
   ms: number,
 ): void {
   const score = record.slowScore + latencies.getAnswerEvidence(ms);
-  record.slowScore = Math.max(LEAST_SCORE, Math.min(getThreshold(record), score));
+  record.slowScore = Math.max(MIN_SCORE, Math.min(getSlowThreshold(record), score));
 }
 
 /**
- * Whether a target of this process's own is seen as slow now.
+ * Whether a target that this process holds counts as slow now.
  * @param state - The process's state.
- * @param target - The target.
+ * @param target - Identity of the target.
  */
 export function isSlowTarget(state: EntryState, target: TargetId): boolean {
   return state.targets.records.get(target)?.slow === true;
--- a/src/core/targets/targetsPart.ts
+++ b/src/core/targets/targetsPart.ts
@@ -2,32 +2,32 @@
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
 import type { CorePart, EventOf } from '../Handler.js';
-import { expireHandovers, handleDrained } from './handover.js';
+import { expireHandovers, handleHandoverDrained } from './handover.js';
 import { getLatencies } from './latencies.js';
 import { handleProbeEnded, probeIdleTargets } from './probes.js';
-import { recallFromCold } from './leaseEnd.js';
+import { cancelOnColdTargets } from './cancelOnColdTargets.js';
 import { refreshService } from './refreshTargets.js';
-import { finishReleased } from './releasedTargets.js';
-import { updateSlowness } from './slowness.js';
-import { coolReturnedZones } from './zoneReturn.js';
+import { updateReleasedTarget } from './updateReleasedTarget.js';
+import { updateSlowFlag } from './slowness.js';
+import { turnReturnedZonesCold } from './returnedZones.js';
 
-function handleAdopted(
+function handleConfigurationAdopted(
   state: EntryState,
   event: EventOf<'configurationAdopted'>,
   context: Context,
 ): Effect[] {
   for (const service of event.changed) refreshService(state, service, context);
-  return coolReturnedZones(state, context);
+  return turnReturnedZonesCold(state, context);
 }
 
-function handlePartitions(state: EntryState, _event: unknown, context: Context): Effect[] {
+function handlePartitionsChanged(state: EntryState, _event: unknown, context: Context): Effect[] {
   for (const service of state.configuration.services.keys()) {
     refreshService(state, service, context);
   }
   return [];
 }
 
-function handleConnection(state: EntryState, event: EventOf<'connectionChanged'>): Effect[] {
+function handleConnectionChanged(state: EntryState, event: EventOf<'connectionChanged'>): Effect[] {
   const record = state.targets.records.get(event.target);
   if (record === undefined) return [];
   record.connectionsKnown = true;
@@ -39,12 +39,12 @@
   const effects: Effect[] = [];
   for (const record of state.targets.records.values()) {
     if (record.hold === 'removed') {
-      if (record.outstanding.size === 0) effects.push(...finishReleased(state, record));
+      if (record.outstanding.size === 0) effects.push(...updateReleasedTarget(state, record));
     } else if (record.slow || record.outstanding.size > 0) {
-      updateSlowness(record, getLatencies(state, record.config.service), context.now);
+      updateSlowFlag(record, getLatencies(state, record.config.service), context.now);
     }
   }
-  effects.push(...recallFromCold(state, context.now));
+  effects.push(...cancelOnColdTargets(state, context.now));
   return effects;
 }
 
@@ -53,15 +53,15 @@
   return [];
 }
 
-/** Limits, phases and choice of the targets that this process drives. */
+/** Manages the limits, phases and probes of the targets that this process holds. */
 export const targetsPart: CorePart = {
   handlers: {
-    configurationAdopted: handleAdopted,
-    partitionsGained: handlePartitions,
-    partitionsLost: handlePartitions,
-    connectionChanged: handleConnection,
+    configurationAdopted: handleConfigurationAdopted,
+    partitionsGained: handlePartitionsChanged,
+    partitionsLost: handlePartitionsChanged,
+    connectionChanged: handleConnectionChanged,
     probeEnded: handleProbeEnded,
   },
-  messages: { handoverDrained: handleDrained },
+  messages: { handoverDrained: handleHandoverDrained },
   jobs: { targets: runTargetsJob, probes: probeIdleTargets, housekeeping: runHousekeeping },
 };
--- a/src/core/targets/releasedTargets.ts
+++ b/src/core/targets/updateReleasedTarget.ts
@@ -1,18 +1,18 @@
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
 import { getHolder } from '../fleet/index.js';
-import type { TargetRecord } from './TargetsState.js';
+import type { LocalTarget } from './TargetsState.js';
 
 /**
- * Follows up a target that this process let go: its next holder hears what is still outstanding,
- * and its connections are closed once nothing is.
+ * Reports the outstanding requests of a released target to its next holder. Once none is left, it
+ * drops the target and closes its connections.
  *
- * Without that word the next holder would fill slots that are still taken here; seen as a target
- * over its slots just after its holder changed.
+ * Without the report the next holder would fill slots that are still in use, and the target would
+ * have more requests than slots just after its holder changed.
  * @param state - The process's state.
- * @param record - The target, just after one of its requests ended or it was let go.
+ * @param record - The target; ignored unless it was removed.
  */
-export function finishReleased(state: EntryState, record: TargetRecord): Effect[] {
+export function updateReleasedTarget(state: EntryState, record: LocalTarget): Effect[] {
   if (record.hold !== 'removed') return [];
   const effects: Effect[] = [];
   const target = record.config.id;
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -1,6 +1,6 @@
 import type { EntrySettings } from '../config/index.js';
 import type { EntryState, PeriodicJob } from '../core/index.js';
-import { createEntryState, JOB_PERIODS_MS, maySendTo } from '../core/index.js';
+import { createEntryState, JOB_PERIODS_MS, canSendTo } from '../core/index.js';
 import type { Logger } from '../logging/Logger.js';
 import { PeerClient, PeerServer } from '../peers/index.js';
 import { StoreClient } from '../store/index.js';
@@ -302,7 +302,7 @@
       exchanges,
       pools,
       peers,
-      prober: new Prober(pools, (target) => maySendTo(state, target, clock.now()), dispatch),
+      prober: new Prober(pools, (target) => canSendTo(state, target, clock.now()), dispatch),
       store: this.store,
       metrics: this.metrics,
       logger: this.logger,
--- a/src/entry/attempts/Attempts.ts
+++ b/src/entry/attempts/Attempts.ts
@@ -1,5 +1,5 @@
 import type { AttemptId, CoreEvent, Effect, EntryState, EntryVmId } from '../../core/index.js';
-import { maySendTo } from '../../core/index.js';
+import { canSendTo } from '../../core/index.js';
 import type { CancelTimer, Clock } from '../../timing/index.js';
 import type { Exchange } from '../exchange/Exchange.js';
 import type { Exchanges } from '../exchange/Exchanges.js';
@@ -127,7 +127,7 @@
       origin: { target, zone: record?.config.zone ?? '' },
       maySend: () => {
         const now = clock.now();
-        return now < effect.deadlineAt && maySendTo(state, target, now);
+        return now < effect.deadlineAt && canSendTo(state, target, now);
       },
     });
   }
--- a/src/proof/targetSends.ts
+++ b/src/proof/targetSends.ts
@@ -1,5 +1,5 @@
 import type { Effect } from '../core/index.js';
-import { maySendTo } from '../core/index.js';
+import { canSendTo } from '../core/index.js';
 import type { TargetListener, TargetModel, TargetReport } from '../standIns/models/index.js';
 import { answerAttempt, endAttempt } from './attempts.js';
 import type { LiveAttempt } from './live.js';
@@ -72,7 +72,7 @@
 /** Asked just before the first byte leaves, as the entry process does: there may have been a pause. */
 function isInTime({ vm, target, deadlineAt }: TargetSend): boolean {
   const now = vm.now();
-  return now < deadlineAt && maySendTo(vm.state, target.options.id, now);
+  return now < deadlineAt && canSendTo(vm.state, target.options.id, now);
 }
 
 /** The request's bytes reach the target after a hop. */
@@ -179,7 +179,7 @@
       vm.dispatch({ kind: 'probeEnded', target: id, end: result, load: target?.report() });
       fleet.step('afterAnswer', vm, 'probe');
     });
-  if (!maySendTo(vm.state, id, vm.now())) {
+  if (!canSendTo(vm.state, id, vm.now())) {
     clock.after(0, () => end('notSent'));
     return;
   }
--- a/src/tests/core/protection/suspects.test.ts
+++ b/src/tests/core/protection/suspects.test.ts
@@ -7,12 +7,12 @@
 function crashAll(driver: CoreDriver): Set<string> {
   const lost = new Set<string>();
   for (let step = 0; step < 6; step++) {
-    for (const { sent } of driver.getLive()) {
+    for (const { sent } of driver.getOpenAttempts()) {
       if (sent.to.kind !== 'target') continue;
       lost.add(`${sent.to.target} ${sent.attempt}`);
       driver.end(sent.attempt, 'reset');
     }
-    driver.pass(10);
+    driver.advance(10);
   }
   return lost;
 }
@@ -26,7 +26,7 @@
   for (let i = 0; i < 20; i++) {
     driver.arrive({ fingerprint: 'crash', method: i % 2 === 0 ? 'GET' : 'POST' });
     lost += crashAll(driver).size;
-    driver.pass(200);
+    driver.advance(200);
   }
   t.is(lost, 2);
   const last = driver.arrive({ fingerprint: 'crash' });
@@ -39,10 +39,10 @@
   const driver = new CoreDriver([makeService('horaires', 3)]);
   driver.warmUp();
   const first = driver.arrive({ fingerprint: 'rare page' });
-  driver.end(driver.getLive()[0].sent.attempt, 'reset');
-  driver.pass(10);
+  driver.end(driver.getOpenAttempts()[0].sent.attempt, 'reset');
+  driver.advance(10);
   t.is(driver.getAttempts(first).length, 2);
-  for (const { sent } of driver.getLive()) driver.complete(sent.attempt);
+  for (const { sent } of driver.getOpenAttempts()) driver.complete(sent.attempt);
   const next = driver.arrive({ fingerprint: 'rare page' });
   t.is(driver.getAttempts(next).length, 1);
 });
@@ -52,15 +52,15 @@
   const driver = new CoreDriver([makeService('horaires', 2)]);
   driver.warmUp();
   driver.arrive({ fingerprint: 'crash' });
-  driver.end(driver.getLive()[0].sent.attempt, 'reset');
-  driver.pass(10);
-  const [alone] = driver.getLive();
+  driver.end(driver.getOpenAttempts()[0].sent.attempt, 'reset');
+  driver.advance(10);
+  const [alone] = driver.getOpenAttempts();
   t.truthy(alone);
   for (let i = 0; i < 8; i++) driver.arrive();
-  driver.pass(100);
+  driver.advance(100);
   const { to } = alone.sent;
   const beside = driver
-    .getLive()
+    .getOpenAttempts()
     .filter(({ sent }) => sent !== alone.sent && JSON.stringify(sent.to) === JSON.stringify(to));
   t.is(beside.length, 0);
 });
--- a/src/tests/core/requests/CoreDriver.ts
+++ b/src/tests/core/requests/CoreDriver.ts
@@ -16,8 +16,8 @@
 
 type SendAttempt = Extract<Effect, { kind: 'sendAttempt' }>;
 
-/** One sending as the outside sees it. */
-export interface SeenAttempt {
+/** One attempt as the adapters would observe it. */
+export interface ObservedAttempt {
   readonly sent: SendAttempt;
   readonly at: number;
   answered?: 'ran' | 'refused';
@@ -25,7 +25,7 @@
   cancelled: boolean;
 }
 
-/** One core in virtual time; the test plays everything outside it. */
+/** Runs one core in virtual time; the test takes the part of adapters, targets and peers. */
 export class CoreDriver {
   readonly state: EntryState;
 
@@ -33,12 +33,12 @@
 
   readonly effects: Effect[] = [];
 
-  readonly attempts = new Map<number, SeenAttempt>();
+  readonly attempts = new Map<number, ObservedAttempt>();
 
-  /** Own answers by request. */
+  /** Masticlink's own answers by request. */
   readonly answers = new Map<number, OwnAnswer>();
 
-  /** Checked after each event. */
+  /** Called for each effect. */
   onEffect?: (effect: Effect) => void;
 
   /** @internal */
@@ -48,8 +48,8 @@
   private nextRequest = 1;
 
   /**
-   * @param services - The configuration, all of zone `a`.
-   * @param guards - Guards to weaken.
+   * @param services - Services of the configuration, all in zone `a`.
+   * @param guards - Guards to replace by weaker ones.
    */
   constructor(services: readonly ServiceConfig[], guards: Partial<Guards> = {}) {
     this.state = createEntryState(makeCoreSettings(), 0, { ...DEFAULT_GUARDS, ...guards });
@@ -59,18 +59,18 @@
 
   dispatch(event: CoreEvent): Effect[] {
     const effects = reduce(this.state, event, { now: this.now, random: this.random });
-    for (const effect of effects) this.see(effect);
+    for (const effect of effects) this.recordEffect(effect);
     return effects;
   }
 
-  /** Lets time pass and runs the jobs that the data path has. */
-  pass(ms: number): Effect[] {
+  /** Advances the time and runs the periodic jobs of the data path. */
+  advance(ms: number): Effect[] {
     this.now += ms;
     const jobs: PeriodicJob[] = ['targets', 'queues', 'probes'];
     return jobs.flatMap((job) => this.dispatch({ kind: 'jobDue', job }));
   }
 
-  /** A request arrives; gives its number. */
+  /** Dispatches a new request and returns its number. */
   arrive(changes: Partial<RequestArrived> = {}): number {
     const request = this.nextRequest;
     this.nextRequest += 1;
@@ -86,7 +86,7 @@
     return request;
   }
 
-  /** An answer's head comes; gives the effects. */
+  /** Dispatches the head of an answer and returns the effects. */
   answer(attempt: number, status = 200, load = {}): Effect[] {
     const seen = this.attempts.get(attempt);
     if (seen?.end === undefined && seen !== undefined) {
@@ -101,31 +101,31 @@
     return this.dispatch({ kind: 'attemptEnded', attempt, end, bodyReplayable });
   }
 
-  /** A sending is answered whole. */
+  /** Answers an attempt completely. */
   complete(attempt: number, status = 200): void {
     this.answer(attempt, status);
     this.end(attempt);
   }
 
-  /** Sendings that have not ended, the oldest first. */
-  getLive(): SeenAttempt[] {
+  /** Attempts that have not ended, the oldest first. */
+  getOpenAttempts(): ObservedAttempt[] {
     return [...this.attempts.values()].filter(({ end }) => end === undefined);
   }
 
-  /** Sendings of one request. */
-  getAttempts(request: number): SeenAttempt[] {
+  /** All attempts of one request. */
+  getAttempts(request: number): ObservedAttempt[] {
     return [...this.attempts.values()].filter(({ sent }) => sent.request === request);
   }
 
-  /** Runs enough requests to warm all targets and settle the service's distribution. */
+  /** Runs enough requests to make all targets warm and the latency distribution reliable. */
   warmUp(service = 'horaires', tookMs = 20): void {
     for (let round = 0; round < 60; round++) {
       for (let i = 0; i < 8; i++) this.arrive({ service });
-      this.pass(tookMs);
-      for (const { sent } of this.getLive()) this.complete(sent.attempt);
-      while (this.getLive().length > 0) {
-        this.pass(tookMs);
-        for (const { sent } of this.getLive()) this.complete(sent.attempt);
+      this.advance(tookMs);
+      for (const { sent } of this.getOpenAttempts()) this.complete(sent.attempt);
+      while (this.getOpenAttempts().length > 0) {
+        this.advance(tookMs);
+        for (const { sent } of this.getOpenAttempts()) this.complete(sent.attempt);
       }
     }
     this.effects.length = 0;
@@ -134,7 +134,7 @@
   }
 
   /** @internal */
-  private see(effect: Effect): void {
+  private recordEffect(effect: Effect): void {
     this.effects.push(effect);
     if (effect.kind === 'sendAttempt') {
       this.attempts.set(effect.attempt, { sent: effect, at: this.now, cancelled: false });
--- a/src/tests/core/requests/ServiceQueue.test.ts
+++ b/src/tests/core/requests/ServiceQueue.test.ts
@@ -3,28 +3,28 @@
 
 import { ServiceQueue } from '../../../core/requests/ServiceQueue.js';
 
-const BURST = 4;
+const BURST_REQUESTS = 4;
 
 const entries = fc.array(
   fc.record({
     caller: fc.constantFrom('a', 'b', 'c', 'd'),
     deadlineAt: fc.nat(1_000),
-    isOwn: fc.boolean(),
+    isForwardable: fc.boolean(),
   }),
   { minLength: 1, maxLength: 60 },
 );
 
 function fill(
-  given: readonly { caller: string; deadlineAt: number; isOwn: boolean }[],
+  given: readonly { caller: string; deadlineAt: number; isForwardable: boolean }[],
 ): ServiceQueue {
   const queue = new ServiceQueue();
   given.forEach((entry, request) => queue.push({ ...entry, request, enqueuedAt: 0 }));
   return queue;
 }
 
-// Four callers send what they like. While two of them wait neither may fall behind the other by
-// more than a burst; a caller who sees a neighbour served instead has no way to tell.
-test('callers who wait together are served alike, within a burst', (t) => {
+// Any requests of four callers. While several callers wait, none may be served more than a burst
+// less often than another.
+test('callers that wait at the same time are served equally, within a burst', (t) => {
   fc.assert(
     fc.property(entries, (given) => {
       const queue = fill(given);
@@ -36,8 +36,8 @@
         waiting.set(next.caller, (waiting.get(next.caller) ?? 0) - 1);
         const still = [...waiting].filter(([, left]) => left > 0).map(([caller]) => caller);
         const counts = still.map((caller) => served.get(caller) ?? 0);
-        if (counts.length > 1 && Math.max(...counts) - Math.min(...counts) > BURST + 2) {
-          throw new Error(`served ${counts.join(', ')}`);
+        if (counts.length > 1 && Math.max(...counts) - Math.min(...counts) > BURST_REQUESTS + 2) {
+          throw new Error(`callers served unequally: ${counts.join(', ')} requests`);
         }
       }
     }),
@@ -46,8 +46,8 @@
   t.pass();
 });
 
-// Whatever is put in comes out once, in order of the deadlines of each caller.
-test('nothing is lost, doubled or out of order', (t) => {
+// Each added request comes out once, and those of one caller in the order of their deadlines.
+test('no request is lost, duplicated or out of order', (t) => {
   fc.assert(
     fc.property(entries, (given) => {
       const queue = fill(given);
@@ -60,9 +60,9 @@
         last.set(next.caller, next.deadlineAt);
       }
       if (out.length !== given.length - 1 || new Set(out).size !== out.length || out.includes(0)) {
-        throw new Error('lost or doubled');
+        throw new Error('request lost or duplicated');
       }
-      if (queue.length !== 0) throw new Error('length is off');
+      if (queue.length !== 0) throw new Error('empty queue has a length');
     }),
     { seed: 12, numRuns: 300, includeErrorInReport: true },
   );
--- a/src/tests/core/requests/forwarding.test.ts
+++ b/src/tests/core/requests/forwarding.test.ts
@@ -8,8 +8,8 @@
 
 const PEER = { id: 'vm4#1', zone: 'a', address: '127.0.0.1:8002', peerAddress: '127.0.0.1:9002' };
 
-/** This process and a peer, each of which holds some of the targets. */
-function makePair(targets = 8): CoreDriver {
+/** Creates a process and a peer, each of which holds some of the targets. */
+function makeDriverWithPeer(targets = 8): CoreDriver {
   const driver = new CoreDriver([makeService('horaires', targets)]);
   driver.warmUp();
   const { assignment } = driver.state.fleet;
@@ -23,11 +23,11 @@
   return driver;
 }
 
-function fillOwn(driver: CoreDriver, count: number): void {
+function fillLocalSlots(driver: CoreDriver, count: number): void {
   for (let i = 0; i < count; i++) driver.arrive();
 }
 
-function hear(driver: CoreDriver, slots: number, queued = 0): Effect[] {
+function receiveSpare(driver: CoreDriver, slots: number, queued = 0): Effect[] {
   const spare = { service: 'horaires', slots, queued };
   const message = { kind: 'spare', spare } as const;
   return driver.dispatch({ kind: 'peerMessageArrived', from: PEER.id, message });
@@ -37,11 +37,12 @@
   return effect.kind === 'sendAttempt' && effect.to.kind === 'peer';
 }
 
-// All slots here are taken while a peer's stand idle.
-test('a request goes once to a peer that has a free slot, and back into the queue if refused', (t) => {
-  const driver = makePair();
-  fillOwn(driver, 16);
-  hear(driver, 1);
+// All slots here are taken while a peer has a free one; by the time the forward arrives there, that
+// slot is taken too.
+test('a request is forwarded once to a peer with a free slot, and queued here if refused', (t) => {
+  const driver = makeDriverWithPeer();
+  fillLocalSlots(driver, 16);
+  receiveSpare(driver, 1);
   const request = driver.arrive();
   const [forward] = driver.getAttempts(request);
   t.is(forward?.sent.to.kind, 'peer');
@@ -50,40 +51,42 @@
   driver.dispatch({ kind: 'attemptAnswered', attempt, status: 503, ownOutcome: 'not-run' });
   driver.end(attempt);
   t.false(driver.answers.has(request));
-  const [own] = driver.getLive();
+  const [own] = driver.getOpenAttempts();
   driver.complete(own?.sent.attempt ?? 0);
   t.is(driver.getAttempts(request).at(-1)?.sent.to.kind, 'target');
 });
 
-// A forward that finds no slot must not travel on: two full entry VMs would send it to and fro.
-test('a forwarded request is served, or refused at once with the peer remembered', (t) => {
-  const driver = makePair(3);
+// A forwarded request that finds no free slot must not be forwarded again: two full entry VMs would
+// send it back and forth.
+test('a forwarded request without a free slot is refused, and its peer is invited later', (t) => {
+  const driver = makeDriverWithPeer(3);
   t.is(getServiceHolders(driver.state, 'horaires').length, 2);
-  fillOwn(driver, 6);
+  fillLocalSlots(driver, 6);
   const request = driver.arrive({ forwardedBy: PEER.id });
   t.like(driver.answers.get(request), { outcome: 'not-run', code: 'no-capacity' });
-  const [own] = driver.getLive();
+  const [own] = driver.getOpenAttempts();
   driver.answer(own?.sent.attempt ?? 0);
   const effects = driver.end(own?.sent.attempt ?? 0);
   const told = effects.find(({ kind }) => kind === 'sendPeer');
   t.like(told, { peer: PEER.id, message: { kind: 'spare', spare: { slots: 1 } } });
 });
 
-// A slot comes free at a peer while requests wait here; unasked they would wait beside an idle slot.
-test('an invitation empties the queue by as many as the peer has slots', (t) => {
-  const driver = makePair();
-  fillOwn(driver, 16);
-  hear(driver, 0);
-  fillOwn(driver, 5);
-  const effects = hear(driver, 2);
+// Slots become free at a peer while requests wait here. Without an invitation the requests would
+// stay in the queue although slots are idle.
+test('after an invitation as many queued requests are forwarded as the peer has slots', (t) => {
+  const driver = makeDriverWithPeer();
+  fillLocalSlots(driver, 16);
+  receiveSpare(driver, 0);
+  fillLocalSlots(driver, 5);
+  const effects = receiveSpare(driver, 2);
   t.is(effects.filter(isForward).length, 2);
   t.true(effects.some(({ kind }) => kind === 'sendPeer'));
 });
 
-// Callers keep addresses for a while: one that names a VM about to go, or one in a zone that is out,
-// would fail them all that time.
-test('addresses name holders first and no entry VM that leaves', (t) => {
-  const driver = makePair();
+// Callers keep address answers for a while. An answer that names an entry VM about to leave, or one
+// in a zone that is out, would make their requests fail all that time.
+test('addresses contain holders first and no entry VM that is leaving', (t) => {
+  const driver = makeDriverWithPeer();
   const ask = () => getAddresses(driver.state, { service: 'horaires' }, () => 0.5)?.addresses ?? [];
   t.is(getServiceHolders(driver.state, 'horaires').length, 2);
   t.is(ask().length, 2);
--- a/src/tests/core/requests/properties.test.ts
+++ b/src/tests/core/requests/properties.test.ts
@@ -4,7 +4,7 @@
 import type { Guards } from '../../../core/guards.js';
 import type { AttemptEnd, Effect } from '../../../core/index.js';
 import { makeService } from '../fixtures.js';
-import type { SeenAttempt } from './CoreDriver.js';
+import type { ObservedAttempt } from './CoreDriver.js';
 import { CoreDriver } from './CoreDriver.js';
 
 type Step =
@@ -46,15 +46,15 @@
   { weight: 2, arbitrary: fc.record({ do: fc.constant('pass' as const), ms: fc.nat(200) }) },
 );
 
-/** What the outside knows of a sending that may have run its request. */
-function mayHaveRun(attempt: SeenAttempt): boolean {
+/** Whether an attempt may have run its request, as far as an observer can tell. */
+function hasPossiblyRun(attempt: ObservedAttempt): boolean {
   if (attempt.answered === 'refused') return false;
   return attempt.end !== 'notSent';
 }
 
-/** Watches one core and throws as soon as it breaks a promise. */
-class Watch {
-  readonly finals = new Map<number, string>();
+/** Checks each effect of one core and throws at the first broken property. */
+class PromiseChecker {
+  readonly finalAnswers = new Map<number, string>();
 
   readonly cancelled = new Set<number>();
 
@@ -65,37 +65,37 @@
     private readonly methods: ReadonlyMap<number, string>,
   ) {}
 
-  see(effect: Effect): void {
-    if (effect.kind === 'sendAttempt') this.seeSending(effect.request, effect.attempt);
+  checkEffect(effect: Effect): void {
+    if (effect.kind === 'sendAttempt') this.checkSentAttempt(effect.request, effect.attempt);
     if (effect.kind === 'relayAnswer') {
       if (this.relays.has(effect.request)) throw new Error('two answers relayed');
       if (this.driver.attempts.get(effect.attempt)?.sent.request !== effect.request) {
-        throw new Error("another request's answer relayed");
+        throw new Error('answer of another request relayed');
       }
       this.relays.set(effect.request, effect.attempt);
-      this.seeFinal(effect.request, 'relay');
+      this.checkFinalAnswer(effect.request, 'relay');
     }
     if (effect.kind === 'abortRequest' && !this.relays.has(effect.request)) {
       throw new Error('aborted without a relayed answer');
     }
     if (effect.kind !== 'answerRequest') return;
-    this.seeFinal(effect.request, 'own');
-    const ran = this.driver.getAttempts(effect.request).some(mayHaveRun);
+    this.checkFinalAnswer(effect.request, 'own');
+    const ran = this.driver.getAttempts(effect.request).some(hasPossiblyRun);
     if (ran && effect.answer.outcome === 'not-run') throw new Error('not-run said untruly');
   }
 
-  private seeFinal(request: number, kind: string): void {
-    if (this.finals.has(request)) throw new Error('two final answers');
+  private checkFinalAnswer(request: number, kind: string): void {
+    if (this.finalAnswers.has(request)) throw new Error('two final answers');
     if (this.cancelled.has(request)) throw new Error('answer for a caller that left');
-    this.finals.set(request, kind);
+    this.finalAnswers.set(request, kind);
   }
 
-  private seeSending(request: number, attempt: number): void {
+  private checkSentAttempt(request: number, attempt: number): void {
     const others = this.driver.getAttempts(request).filter(({ sent }) => sent.attempt !== attempt);
-    if (this.methods.get(request) === 'POST' && others.some(mayHaveRun)) {
+    if (this.methods.get(request) === 'POST' && others.some(hasPossiblyRun)) {
       throw new Error('sent again after a byte may have left');
     }
-    if (others.length > 8) throw new Error('sent without end');
+    if (others.length > 8) throw new Error('request sent too often');
     for (const record of this.driver.state.targets.records.values()) {
       const most = record.phase === 'cold' ? 1 : record.limit;
       const isHere = record.outstanding.has(attempt);
@@ -104,18 +104,23 @@
   }
 }
 
-function perform(driver: CoreDriver, watch: Watch, methods: Map<number, string>, next: Step): void {
-  const live = driver.getLive();
+function performStep(
+  driver: CoreDriver,
+  checker: PromiseChecker,
+  methods: Map<number, string>,
+  next: Step,
+): void {
+  const live = driver.getOpenAttempts();
   if (next.do === 'arrive') {
     const request = methods.size + 1;
     methods.set(request, next.method);
     driver.arrive({ method: next.method, caller: next.caller, fingerprint: `f${request % 5}` });
   } else if (next.do === 'pass') {
-    driver.pass(next.ms);
+    driver.advance(next.ms);
   } else if (next.do === 'cancel') {
     const request = (next.pick % Math.max(1, methods.size)) + 1;
-    if (!methods.has(request) || watch.finals.get(request) === 'own') return;
-    watch.cancelled.add(request);
+    if (!methods.has(request) || checker.finalAnswers.get(request) === 'own') return;
+    checker.cancelled.add(request);
     driver.dispatch({ kind: 'requestCancelled', request });
   } else if (live.length > 0) {
     const { attempt } = live[next.pick % live.length].sent;
@@ -123,7 +128,7 @@
       driver.answer(attempt, next.status);
     } else {
       driver.end(attempt, next.end);
-      // Told twice, and an answer that comes too late: both must change nothing.
+      // A repeated end and an answer that comes too late must change nothing.
       if (next.again) {
         driver.end(attempt, 'reset');
         driver.dispatch({ kind: 'attemptAnswered', attempt, status: 200 });
@@ -132,36 +137,40 @@
   }
 }
 
-function finish(driver: CoreDriver, watch: Watch, methods: ReadonlyMap<number, string>): void {
+function finishAndCheck(
+  driver: CoreDriver,
+  checker: PromiseChecker,
+  methods: ReadonlyMap<number, string>,
+): void {
   for (let i = 0; i < 400 && driver.state.requests.requests.size > 0; i++) {
-    driver.pass(50);
-    for (const { sent } of driver.getLive()) driver.complete(sent.attempt);
+    driver.advance(50);
+    for (const { sent } of driver.getOpenAttempts()) driver.complete(sent.attempt);
   }
   for (const request of methods.keys()) {
-    const isOver = watch.finals.has(request) || watch.cancelled.has(request);
+    const isOver = checker.finalAnswers.has(request) || checker.cancelled.has(request);
     if (!isOver) throw new Error(`request ${request} was never answered`);
   }
-  for (const { sent } of driver.getLive()) driver.end(sent.attempt, 'cancelled');
+  for (const { sent } of driver.getOpenAttempts()) driver.end(sent.attempt, 'cancelled');
   const { requests, targets } = driver.state;
-  if (requests.attempts.size + requests.requests.size > 0) throw new Error('state is left over');
+  if (requests.attempts.size + requests.requests.size > 0) throw new Error('open requests left');
   for (const traffic of requests.traffic.values()) {
-    if (traffic.inProcess !== 0 || traffic.queue.length !== 0) throw new Error('count is off');
+    if (traffic.openRequests !== 0 || traffic.queue.length !== 0) throw new Error('count is not 0');
   }
   for (const record of targets.records.values()) {
-    if (record.outstanding.size > 0) throw new Error('a slot is lost');
+    if (record.outstanding.size > 0) throw new Error('a slot was not freed');
   }
 }
 
 function runSteps(steps: readonly Step[], guards: Partial<Guards>): void {
   const driver = new CoreDriver([makeService('horaires', 3)], guards);
   const methods = new Map<number, string>();
-  const watch = new Watch(driver, methods);
-  driver.onEffect = (effect) => watch.see(effect);
-  for (const next of steps) perform(driver, watch, methods, next);
-  finish(driver, watch, methods);
+  const checker = new PromiseChecker(driver, methods);
+  driver.onEffect = (effect) => checker.checkEffect(effect);
+  for (const next of steps) performStep(driver, checker, methods, next);
+  finishAndCheck(driver, checker, methods);
 }
 
-function check(guards: Partial<Guards> = {}): void {
+function checkProperties(guards: Partial<Guards> = {}): void {
   fc.assert(
     fc.property(fc.array(step, { minLength: 5, maxLength: 120 }), (steps) => {
       runSteps(steps, guards);
@@ -170,16 +179,20 @@
   );
 }
 
-// Requests, answers, failures, late and repeated events in any order. What a user would notice is a
-// booking made twice, an answer to somebody else's request, or no answer at all.
-test('each request gets one truthful answer, and what may not run twice is not sent twice', (t) => {
-  t.notThrows(() => check());
+// Requests, answers, failures, late and repeated events in any order. The faults that a user would
+// notice are a booking made twice, the answer to another request, or no answer at all.
+test('each request gets one correct answer, and non-repeatable ones are not sent twice', (t) => {
+  t.notThrows(() => checkProperties());
 });
 
-// A check that never fails proves nothing: with a guard taken away it has to find the fault that
-// the guard prevents.
-test('the properties fail without their guards', (t) => {
-  t.throws(() => check({ noResendAfterByte: () => true }), { message: /byte may have left/ });
-  t.throws(() => check({ notRunOnlyIfCertain: () => true }), { message: /not-run said untruly/ });
-  t.throws(() => check({ coldLimit: () => 2 }), { message: /over the limit/ });
+// Shows that the properties can fail: with a guard removed, they have to find the fault that it
+// prevents.
+test('the properties fail without the guards', (t) => {
+  t.throws(() => checkProperties({ noResendAfterByte: () => true }), {
+    message: /byte may have left/,
+  });
+  t.throws(() => checkProperties({ notRunOnlyIfCertain: () => true }), {
+    message: /not-run said untruly/,
+  });
+  t.throws(() => checkProperties({ coldLimit: () => 2 }), { message: /over the limit/ });
 });
--- a/src/tests/core/targets/limits.test.ts
+++ b/src/tests/core/targets/limits.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 
-import type { TargetRecord } from '../../../core/targets/index.js';
+import type { LocalTarget } from '../../../core/targets/index.js';
 import { makeConfiguration, makeService } from '../fixtures.js';
 import { CoreDriver } from '../requests/CoreDriver.js';
 
-function getTarget(driver: CoreDriver, index: number): TargetRecord {
+function getTarget(driver: CoreDriver, index: number): LocalTarget {
   const record = driver.state.targets.records.get(`horaires/t${index}`);
   if (record === undefined) throw new Error('no such target');
   return record;
@@ -19,44 +19,45 @@
   for (let i = 0; i < count; i++) driver.arrive();
 }
 
-// A back end has just started and falls over under its full load; its callers would see resets
-// until the load happens to let up.
-test('a target in cold start gets one request, then twice as many after each good round', (t) => {
+// A target that has just started fails under its full load, and callers would get resets until the
+// load decreases.
+test('a target in cold start gets one request, and twice as many after each good round', (t) => {
   const driver = makeDriver(1, 6);
   arriveMany(driver, 40);
   const rounds: number[] = [];
   for (let i = 0; i < 4; i++) {
-    const live = driver.getLive();
+    const live = driver.getOpenAttempts();
     rounds.push(live.length);
-    driver.pass(10);
+    driver.advance(10);
     for (const { sent } of live) driver.complete(sent.attempt);
   }
   t.deepEqual(rounds, [1, 2, 4, 6]);
 });
 
-// The whole fleet starts at once, all targets cold. One request at a time until the first were warm
-// would leave families queuing.
-test('a service whose targets are all cold uses each of them at once', (t) => {
+// The whole fleet starts at once with all targets cold. If they were warmed up one after the other,
+// most requests would have to wait.
+test('a service whose targets are all cold uses all of them at the same time', (t) => {
   const driver = makeDriver(4, 6);
   arriveMany(driver, 40);
-  t.is(driver.getLive().length, 4);
-  driver.pass(10);
-  for (const { sent } of driver.getLive()) driver.complete(sent.attempt);
-  t.is(driver.getLive().length, 8);
+  t.is(driver.getOpenAttempts().length, 4);
+  driver.advance(10);
+  for (const { sent } of driver.getOpenAttempts()) driver.complete(sent.attempt);
+  t.is(driver.getOpenAttempts().length, 8);
 });
 
-// A target restarts between two requests without a connection breaking: only its report tells.
-test('a target with a new boot id is cold again, and older answers do not warm it', (t) => {
+// A target restarts between two requests without breaking a connection, so that only the boot id in
+// its reports shows the restart.
+test('a target with a new boot id becomes cold, and older answers do not raise its limit', (t) => {
   const driver = makeDriver(1, 2);
   driver.warmUp();
   arriveMany(driver, 2);
-  const [early, late] = driver.getLive().map(({ sent }) => sent.attempt);
+  const [early, late] = driver.getOpenAttempts().map(({ sent }) => sent.attempt);
   driver.answer(early ?? 0, 200, { bootId: 'a' });
   driver.end(early ?? 0);
-  driver.pass(1);
+  driver.advance(1);
   driver.arrive();
-  const [, fresh] = driver.getLive().map(({ sent }) => sent.attempt);
-  driver.pass(5);
+  const [, fresh] = driver.getOpenAttempts().map(({ sent }) => sent.attempt);
+  driver.advance(5);
   driver.answer(fresh ?? 0, 200, { bootId: 'b' });
   driver.end(fresh ?? 0);
   t.is(getTarget(driver, 0).phase, 'cold');
@@ -65,19 +66,19 @@
   t.is(getTarget(driver, 0).limit, 1);
 });
 
-// A target turns five times slower. Its answers tell only after that time; till then it would be
-// given request after request, each of them late.
-test('a target whose requests stand still gets nothing more before it has answered', (t) => {
+// A target becomes five times slower. Its answers show this only after that time, and until then
+// each request that it is sent would be late.
+test('a target whose requests make no progress gets no new ones before it has answered', (t) => {
   const driver = makeDriver(2, 2);
   driver.warmUp();
   arriveMany(driver, 4);
   const slow = getTarget(driver, 0);
   const held = [...slow.outstanding.keys()];
-  driver.pass(20);
-  for (const { sent } of driver.getLive()) {
+  driver.advance(20);
+  for (const { sent } of driver.getOpenAttempts()) {
     if (!held.includes(sent.attempt)) driver.complete(sent.attempt);
   }
-  driver.pass(180);
+  driver.advance(180);
   t.true(slow.slow);
   arriveMany(driver, 2);
   t.is(slow.outstanding.size, held.length);
@@ -86,16 +87,16 @@
   t.is(slow.limit, 1);
 });
 
-// Reports lag or mislead: one that claims an idle target must not raise a limit, one that claims a
-// full target may cost at most half of it.
-test('a load report lowers a limit to half at most and raises none', (t) => {
+// Load reports may be late or wrong. A report of an idle target must not raise the limit, and
+// reports of a full target may lower it to half at most.
+test('load reports lower a limit to half at most and never raise it', (t) => {
   const driver = makeDriver(1, 6);
   driver.warmUp();
   const record = getTarget(driver, 0);
   const limits = Array.from({ length: 20 }, () => {
     driver.arrive();
-    driver.pass(200);
-    const [live] = driver.getLive();
+    driver.advance(200);
+    const [live] = driver.getOpenAttempts();
     driver.answer(live?.sent.attempt ?? 0, 200, { load: 1 });
     driver.end(live?.sent.attempt ?? 0);
     return record.limit;
@@ -103,28 +104,29 @@
   t.is(Math.min(...limits), 3);
   const before = record.limit;
   driver.arrive();
-  const [last] = driver.getLive();
+  const [last] = driver.getOpenAttempts();
   driver.answer(last?.sent.attempt ?? 0, 200, { load: 0 });
-  // One more by the answer itself, none by what the report says.
+  // The answer itself may raise the limit by one; the report must not.
   t.true(record.limit <= before + 1);
 });
 
-// A back end is being replaced and says so. New work would be cut with it.
-test('a draining target gets nothing new and ends what it has', (t) => {
+// A target is being replaced and reports that it is draining. New requests would be cut off by its
+// exit.
+test('a draining target gets no new requests and finishes those outstanding', (t) => {
   const driver = makeDriver(1, 2);
   driver.warmUp();
   arriveMany(driver, 2);
-  const [first, second] = driver.getLive().map(({ sent }) => sent.attempt);
+  const [first, second] = driver.getOpenAttempts().map(({ sent }) => sent.attempt);
   driver.answer(first ?? 0, 200, { draining: true });
   driver.end(first ?? 0);
   const waiting = driver.arrive();
-  driver.pass(10);
+  driver.advance(10);
   t.is(driver.getAttempts(waiting).length, 0);
   t.false(driver.attempts.get(second ?? 0)?.cancelled);
 });
 
-// Operators take a zone out and back. Its targets may have been restarted meanwhile.
-test('a zone that is out gets nothing new, and its targets come back cold', (t) => {
+// Operators take a zone out and bring it back. Its targets may have been restarted meanwhile.
+test('a zone that is out gets no new requests, and its targets are cold when it returns', (t) => {
   const driver = makeDriver(1, 2);
   driver.warmUp();
   const service = makeService('horaires', 1);
@@ -135,18 +137,18 @@
   };
   publish(2, 'out');
   const request = driver.arrive();
-  driver.pass(10);
+  driver.advance(10);
   t.is(driver.getAttempts(request).length, 0);
   publish(3, 'in');
   t.is(getTarget(driver, 0).phase, 'cold');
-  driver.pass(10);
+  driver.advance(10);
   arriveMany(driver, 3);
-  t.is(driver.getLive().length, 1);
+  t.is(driver.getOpenAttempts().length, 1);
 });
 
-// Probes cost a target work. Asked for all the time, whatever happens, they stay within the
-// declared share of its slot time, counted from an empty budget.
-test('probes of an idle target keep to the share of its slot time', (t) => {
+// Probes cost a target work. Even if a probe is due all the time, they stay within the declared
+// share of the target's slot time, starting from an empty budget.
+test('probes of an idle target stay within the share of its slot time', (t) => {
   const service = makeService('horaires', 1);
   const probe = { path: '/health', costMs: 6, budgetShare: 0.001, idleMs: 50 };
   const driver = new CoreDriver([{ ...service, probe }]);
@@ -157,21 +159,21 @@
     t.true(probes * probe.costMs <= driver.now * service.capacity.slots * probe.budgetShare);
   };
   for (let i = 0; i < 2_000; i++) {
-    driver.pass(50);
+    driver.advance(50);
     driver.dispatch({ kind: 'probeEnded', target: 'horaires/t0', end: 'healthy' });
   }
   t.true(probes > 20);
 });
 
-// A holder cannot renew its lease while a target in cold start runs a request of its. The next
-// holder sends that target one too, and it falls over under both.
-test('what a cold target holds is cancelled once the lease has run out, and not before', (t) => {
+// A holder can't renew its lease while a target in cold start runs one of its requests. The next
+// holder also sends that target a request, and the target fails under both.
+test('attempts at a cold target are cancelled once the lease has expired, and not before', (t) => {
   const driver = makeDriver(1, 2);
   driver.state.fleet.leaseEnd = 3_000;
   driver.arrive();
-  const [seen] = driver.getLive();
-  driver.pass(2_900);
+  const [seen] = driver.getOpenAttempts();
+  driver.advance(2_900);
   t.false(seen?.cancelled);
-  driver.pass(200);
+  driver.advance(200);
   t.true(seen?.cancelled);
 });
