--- a/src/balancing/ColdAllowance.ts
+++ b/src/balancing/ColdAllowance.ts
@@ -1,5 +1,5 @@
 import type { TargetId } from '../core/model/index.js';
-import type { BucketSize } from '../limits/index.js';
+import type { BucketConfig } from '../limits/index.js';
 import { getOwners, TokenBuckets } from '../limits/index.js';
 
 /** Entry VMs that may send to one cold target: one of them may be down without idling it. */
@@ -53,7 +53,7 @@
    * @param now - Monotonic milliseconds.
    */
   has(target: TargetId, coldPerSecond: number, now: number): boolean {
-    return this.buckets.count(target, this.getSize(coldPerSecond), now) >= 1;
+    return this.buckets.getTokens(target, this.getSize(coldPerSecond), now) >= 1;
   }
 
   /**
@@ -67,7 +67,7 @@
   }
 
   /** @internal */
-  private getSize(coldPerSecond: number): BucketSize {
+  private getSize(coldPerSecond: number): BucketConfig {
     const perWindow = coldPerSecond * this.bound.perSecond + this.bound.slack;
     // A second holds what has been saved up, at most one, and what accrues in it.
     return { perSecond: Math.max(0, perWindow / OWNERS_COUNTED - 1), burst: 1 };
--- a/src/balancing/limitHandlers.ts
+++ b/src/balancing/limitHandlers.ts
@@ -37,11 +37,11 @@
   const { now } = context;
   const effects = takeLimitReports(state, answer.reports, 'vm', now);
   const record = state.targets.get(answer.target);
-  if (!state.permits.takeAnswer(answer, now) || record === undefined) return effects;
+  if (!state.permits.acceptAnswer(answer, now) || record === undefined) return effects;
   if (record.entry.bornAt !== answer.bornAt) return effects;
   if (record.probeWaiters.size === 0) return [...effects, ...returnPermits(state, [record], now)];
   if (maySend(state, record, now)) effects.push(...probeStale(state, [record], now));
   else effects.push(...askPermit(state, record, now));
-  const isAwaited = record.probeSentAt !== undefined || state.permits.isAsking(answer, now);
+  const isAwaited = record.probeSentAt !== undefined || state.permits.isPending(answer, now);
   return isAwaited ? effects : [...effects, ...placeWaiters(state, record, context)];
 }
--- a/src/balancing/limits.ts
+++ b/src/balancing/limits.ts
@@ -1,5 +1,5 @@
 import type { ServiceName } from '../core/model/index.js';
-import type { LimitedTarget, LimitReport, PermitVerdict } from '../limits/index.js';
+import type { LimitedTarget, LimitReport, PermitDecision } from '../limits/index.js';
 import type { BalancerState } from './BalancerState.js';
 import type { BalancerEffect } from './effects.js';
 import type { NamedLimit } from './model.js';
@@ -24,8 +24,8 @@
   now: number,
 ): BalancerEffect[] {
   return reports.flatMap((report): BalancerEffect[] => {
-    const before = state.limits.getNamed(report);
-    const change = state.limits.take(report, now);
+    const before = state.limits.getAdvertisedRate(report);
+    const change = state.limits.applyReport(report, now);
     if (change === undefined || change === 'confirmed') return [];
     const { target, perSecond, ageMs } = report;
     const service = state.targets.get(target)?.entry.service;
@@ -65,7 +65,7 @@
   record: TargetRecord,
   now: number,
 ): number | undefined {
-  return limits.size === 0 ? undefined : limits.getRate(toLimited(record), now);
+  return limits.size === 0 ? undefined : limits.getAllowedRate(toLimited(record), now);
 }
 
 /**
@@ -89,14 +89,14 @@
   if (maySend(state, record, now)) return false;
   const { permits, announced } = state;
   const target = toLimited(record);
-  return !permits.isAsking(target, now) && permits.findIssuer(target, announced, now) === undefined;
+  return !permits.isPending(target, now) && permits.getIssuer(target, announced, now) === undefined;
 }
 
 /** When a permit can be had for a target of a service again; monotonic milliseconds. */
 export function getOpenAt(state: BalancerState, service: ServiceName, now: number): number {
   const times = (state.byService.get(service) ?? [])
     .filter((record) => isExhausted(state, record, now))
-    .map((record) => state.permits.getOpenAt(toLimited(record), state.announced, now));
+    .map((record) => state.permits.getNextRequestAt(toLimited(record), state.announced, now));
   return times.length === 0 ? now : Math.min(...times);
 }
 
@@ -117,17 +117,17 @@
  * @param target - The target.
  * @param now - Monotonic milliseconds.
  */
-export function issue(state: BalancerState, target: LimitedTarget, now: number): PermitVerdict {
-  const perSecond = state.limits.getRate(target, now);
+export function issue(state: BalancerState, target: LimitedTarget, now: number): PermitDecision {
+  const perSecond = state.limits.getAllowedRate(target, now);
   if (perSecond === undefined) return { isGranted: true, waitMs: 0 };
-  return state.issuer.ask(target, perSecond, state.announced.length, now);
+  return state.issuer.tryIssue(target, perSecond, state.announced.length, now);
 }
 
 /** Asks this VM's own issuer; gives whether it granted one. */
 function askSelf(state: BalancerState, target: LimitedTarget, now: number): boolean {
   const { isGranted, waitMs } = issue(state, target, now);
   if (isGranted) state.permits.add(target, state.settings.vm, now);
-  else state.permits.noteDenied(target, state.settings.vm, waitMs, now);
+  else state.permits.recordDenial(target, state.settings.vm, waitMs, now);
   return isGranted;
 }
 
@@ -146,19 +146,19 @@
   const { permits, announced, settings, limits } = state;
   const target = toLimited(record);
   const effects: BalancerEffect[] = [];
-  const silent = permits.takeSilent(target, now);
+  const silent = permits.expireRequest(target, now);
   if (silent !== undefined) {
     const fields = { vm: silent, target: target.target };
     effects.push({ kind: 'log', event: 'permit.issuerSilent', fields });
   }
-  if (permits.isAsking(target, now)) return effects;
-  let vm = permits.findIssuer(target, announced, now);
+  if (permits.isPending(target, now)) return effects;
+  let vm = permits.getIssuer(target, announced, now);
   if (vm === settings.vm) {
     if (askSelf(state, target, now)) return effects;
-    vm = permits.findIssuer(target, announced, now);
+    vm = permits.getIssuer(target, announced, now);
   }
   if (vm === undefined || vm === settings.vm) return effects;
-  const ask = permits.noteAsked(target, vm, now);
+  const ask = permits.recordRequest(target, vm, now);
   const reports = limits.getReports(target, now);
   return [
     ...effects,
@@ -168,9 +168,9 @@
 
 /** Takes a permit back that this VM issued. */
 export function takePermitBack(state: BalancerState, target: LimitedTarget, now: number): void {
-  const perSecond = state.limits.getRate(target, now);
+  const perSecond = state.limits.getAllowedRate(target, now);
   if (perSecond === undefined) return;
-  state.issuer.takeBack(target, perSecond, state.announced.length, now);
+  state.issuer.reclaim(target, perSecond, state.announced.length, now);
 }
 
 /**
@@ -197,7 +197,7 @@
 
 /** Forgets limits that nobody has confirmed for long, and all that hangs on them. */
 export function forgetLimits({ limits, permits, issuer }: BalancerState, now: number): void {
-  limits.forgetOld(now);
+  limits.removeExpired(now);
   permits.keepOnly(limits.isLimited);
   issuer.keepOnly(limits.isLimited);
 }
--- a/src/balancing/versions.ts
+++ b/src/balancing/versions.ts
@@ -169,7 +169,7 @@
   if (rollout === undefined || (basis.isCold && isBad)) return;
   const isNew = target.entry.version === rollout.order.version;
   const place = Math.max(0, rollout.newTargets.indexOf(target.entry.id));
-  rollout.evidence.note(route.name, isNew ? place : undefined, isBad);
+  rollout.evidence.recordAnswer(route.name, isNew ? place : undefined, isBad);
 }
 
 /**
@@ -238,7 +238,7 @@
     const stage = getStage(rollout, now);
     const share = ALL_OR_NONE[stage] ?? rollout.guidance?.share ?? 0;
     const { version } = rollout.order;
-    figures.set(service, { version, stage, share, counts: rollout.evidence.sums });
+    figures.set(service, { version, stage, share, counts: rollout.evidence.versionTotals });
   }
   return figures;
 }
--- a/src/fleet/RolloutSync.ts
+++ b/src/fleet/RolloutSync.ts
@@ -194,7 +194,7 @@
       running.coordinator = new RolloutCoordinator(running.order, bound, now);
       log.write('rollout.coordinating', { order: running.order.id, rank: this.coordinators.rank });
     }
-    running.coordinator.take(message, now);
+    running.coordinator.addReport(message, now);
   }
 
   /** @internal */
@@ -202,10 +202,10 @@
     if (coordinator === undefined) return undefined;
     const { clock, log, view, getOwnRollout } = this.parts;
     const now = clock.now();
-    const previousPhase = coordinator.lastPhase;
+    const previousPhase = coordinator.currentPhase;
     const guidance = coordinator.decide(now, view.vms.size);
-    if (coordinator.lastPhase !== previousPhase) {
-      const { lastPhase: phase } = coordinator;
+    if (coordinator.currentPhase !== previousPhase) {
+      const { currentPhase: phase } = coordinator;
       const inputs = coordinator.getInputs(now);
       log.write('rollout.judged', { order: order.id, phase, before: previousPhase, ...inputs });
     }
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -280,7 +280,7 @@
    * @param settings - The new settings.
    */
   reload(settings: GatewaySettings): void {
-    this.store.moveTo(settings.storeAddress);
+    this.store.setAddress(settings.storeAddress);
     this.parts.log.write('process.reloaded', { storeAddress: settings.storeAddress });
   }
 
--- a/src/lab/playRollout.ts
+++ b/src/lab/playRollout.ts
@@ -163,7 +163,7 @@
     let isTold = false;
     for (const coordinator of this.coordinators) {
       if (random() < plan.loss || coordinator === undefined) continue;
-      coordinator.take(report, now);
+      coordinator.addReport(report, now);
       const guidance = coordinator.decide(now, plan.vms);
       const isFirst = !isTold || guidance?.phase === 'stopped';
       if (guidance === undefined || !isFirst || random() < plan.loss) continue;
@@ -257,7 +257,11 @@
     const workMs = plan.workMs * (0.7 + 0.6 * random());
     if (!isNew) this.oldRequests[vm] += 1;
     const note = (): void => {
-      this.vms[vm].evidence.note(route, isNew ? this.fresh.indexOf(target) : undefined, isBad);
+      this.vms[vm].evidence.recordAnswer(
+        route,
+        isNew ? this.fresh.indexOf(target) : undefined,
+        isBad,
+      );
       if (!isNew || !isBad) return;
       this.bad += 1;
       if (this.bad === COUNTED_BAD) this.badAt = clock.now();
--- a/src/limits/LimitView.ts
+++ b/src/limits/LimitView.ts
@@ -2,159 +2,176 @@
 import { getLimitKey } from './model.js';
 
 /**
- * Answers without a limit end it only so long after the last one that named it, in milliseconds:
- * some targets name it in a part of their answers, and reports of it take a while to reach all VMs.
+ * An answer without a limit ends a known limit only if it came at least this long after the last
+ * answer that advertised the limit, in milliseconds. Some targets advertise the limit in only part
+ * of their answers, and reports of it reach other VMs with a delay.
  */
-const END_AFTER_MS = 2_000;
+const END_DELAY_MS = 2_000;
 
-/** A limit that has ended doubles in this time, in milliseconds, so that no flood follows its end. */
-const DOUBLING_MS = 500;
+/**
+ * After a limit has ended, the allowed rate doubles at this interval, in milliseconds. Lifting the
+ * limit at once would flood a target that has just recovered.
+ */
+const RECOVERY_DOUBLING_MS = 500;
 
-/** After so many doublings it is gone. */
-const DOUBLINGS = 6;
+/** Number of doublings after which an ended limit is removed. */
+const RECOVERY_DOUBLINGS = 6;
 
 /**
- * Least that is sent to a target, in requests a second: without any request nobody would see the end
- * of its limit.
+ * Minimum rate at which requests are sent to a limited target, in requests per second. With no
+ * requests at all, no VM would see the end of the limit.
  */
-const LEAST_PER_SECOND = 0.1;
+const MIN_RATE_PER_SECOND = 0.1;
 
-/** A limit that was named in this time is told again, in milliseconds. */
-const FRESH_MS = 1_500;
+/** A limit that was advertised within this time is reported to other VMs again, in milliseconds. */
+const RECENT_MS = 1_500;
 
-/** A limit that nobody has confirmed for so long is forgotten, in milliseconds. */
-const FORGET_MS = 120_000;
+/** A limit that no answer has confirmed for this long is removed, in milliseconds. */
+const LIMIT_TTL_MS = 120_000;
 
-interface Limit {
+interface LimitState {
   readonly target: LimitedTarget;
   perSecond: number;
-  /** When an answer named it last; monotonic milliseconds. */
-  namedAt: number;
-  /** When an answer said that it is over; undefined while it is in force. */
+  /** When an answer last advertised the limit; monotonic milliseconds. */
+  advertisedAt: number;
+  /** When an answer showed that the limit had ended; undefined while it is in force. */
   endedAt: number | undefined;
 }
 
-/** What a report changed. */
+/** How a report changed what is known of a target's limit. */
 export type LimitChange =
-  /** The target named none before, or another one. */
+  /** The target had no known limit or a different one. */
   | 'named'
-  /** What was known is confirmed. */
+  /** The known limit is still in force. */
   | 'confirmed'
   | 'ended';
 
-/** What is known of the limits that targets name. */
+/** Limits that targets advertise, as known from answers to this VM and reports of other VMs. */
 export class LimitView {
   /** @internal */
-  private readonly limits = new Map<string, Limit>();
+  private readonly limits = new Map<string, LimitState>();
 
-  /** How many targets are limited, or were a while ago. */
+  /** Number of targets that are limited or whose limit ended recently. */
   get size(): number {
     return this.limits.size;
   }
 
   /**
-   * Takes what an answer said, to this VM or to another one.
-   * @param report - What it said.
+   * Applies what an answer to this VM or to another VM said about its target's limit.
+   * @param report - The limit that the answer advertised, if any, and the age of the answer.
    * @param now - Monotonic milliseconds.
-   * @returns What changed; undefined if the report is older than what is known, or says nothing new.
+   * @returns What changed; undefined if the report is older than what is known or changes nothing.
    */
-  take({ target, bornAt, perSecond, ageMs }: LimitReport, now: number): LimitChange | undefined {
+  applyReport(
+    { target, bornAt, perSecond, ageMs }: LimitReport,
+    now: number,
+  ): LimitChange | undefined {
     const key = getLimitKey({ target, bornAt });
-    const at = now - ageMs;
+    const answeredAt = now - ageMs;
     const limit = this.limits.get(key);
-    if (limit !== undefined) return LimitView.update(limit, perSecond, at);
-    if (perSecond === undefined || ageMs > FORGET_MS) return undefined;
-    const made = { target: { target, bornAt }, perSecond, namedAt: at, endedAt: undefined };
-    this.limits.set(key, made);
+    if (limit !== undefined) return LimitView.updateLimit(limit, perSecond, answeredAt);
+    if (perSecond === undefined || ageMs > LIMIT_TTL_MS) return undefined;
+    const created = {
+      target: { target, bornAt },
+      perSecond,
+      advertisedAt: answeredAt,
+      endedAt: undefined,
+    };
+    this.limits.set(key, created);
     return 'named';
   }
 
-  /** What a target named last; undefined if it is not limited now, nor was a moment ago. */
-  getNamed(target: LimitedTarget): number | undefined {
+  /**
+   * The rate that a target last advertised, in requests per second; undefined if the target has no
+   * limit and none that ended recently.
+   */
+  getAdvertisedRate(target: LimitedTarget): number | undefined {
     return this.limits.get(getLimitKey(target))?.perSecond;
   }
 
-  /** Whether a key is that of a target which is limited, or was a moment ago. */
+  /** Whether a key belongs to a target that is limited or whose limit ended recently. */
   readonly isLimited = (key: string): boolean => this.limits.has(key);
 
   /**
-   * Forgets limits of targets that are gone and that nobody has confirmed for long.
+   * Removes limits that ended a while ago or that no answer has confirmed for a long time.
    * @param now - Monotonic milliseconds.
    */
-  forgetOld(now: number): void {
-    for (const { target } of [...this.limits.values()]) this.getRate(target, now);
+  removeExpired(now: number): void {
+    for (const { target } of [...this.limits.values()]) this.getAllowedRate(target, now);
   }
 
   /**
-   * Requests a second that all VMs together may send to a target.
+   * Requests per second that all VMs together may send to a target.
    * @param target - The target.
    * @param now - Monotonic milliseconds.
-   * @returns Undefined if it is not limited.
+   * @returns Undefined if the target is not limited.
    */
-  getRate(target: LimitedTarget, now: number): number | undefined {
+  getAllowedRate(target: LimitedTarget, now: number): number | undefined {
     if (this.limits.size === 0) return undefined;
     const key = getLimitKey(target);
     const limit = this.limits.get(key);
     if (limit === undefined) return undefined;
-    const least = Math.max(LEAST_PER_SECOND, limit.perSecond);
+    const baseRate = Math.max(MIN_RATE_PER_SECOND, limit.perSecond);
     if (limit.endedAt === undefined) {
-      if (now - limit.namedAt <= FORGET_MS) return least;
+      if (now - limit.advertisedAt <= LIMIT_TTL_MS) return baseRate;
       this.limits.delete(key);
       return undefined;
     }
-    const doublings = Math.max(0, now - limit.endedAt) / DOUBLING_MS;
-    if (doublings <= DOUBLINGS) return least * 2 ** doublings;
+    const doublings = Math.max(0, now - limit.endedAt) / RECOVERY_DOUBLING_MS;
+    if (doublings <= RECOVERY_DOUBLINGS) return baseRate * 2 ** doublings;
     this.limits.delete(key);
     return undefined;
   }
 
   /**
-   * What there is to tell of one target, the limit first and then its end.
+   * Reports to send to other VMs about one target: its limit, followed by the end of that limit if
+   * it has ended.
    * @param target - The target.
    * @param now - Monotonic milliseconds.
    */
   getReports(target: LimitedTarget, now: number): readonly LimitReport[] {
     const limit = this.limits.get(getLimitKey(target));
-    return limit === undefined ? [] : LimitView.describe(limit, now);
+    return limit === undefined ? [] : LimitView.toReports(limit, now);
   }
 
   /**
-   * What was confirmed a moment ago, to be told again: other VMs would take the limits for ended that
-   * they see no answer of.
+   * Reports on limits that were advertised recently, to be sent again. VMs that see no answer
+   * advertising the limit would otherwise consider it ended.
    * @param now - Monotonic milliseconds.
    */
   getFreshReports(now: number): readonly LimitReport[] {
     return [...this.limits.values()]
-      .filter(({ namedAt }) => now - namedAt < FRESH_MS)
-      .flatMap((limit) => LimitView.describe(limit, now));
+      .filter(({ advertisedAt }) => now - advertisedAt < RECENT_MS)
+      .flatMap((limit) => LimitView.toReports(limit, now));
   }
 
   /** @internal */
-  private static update(
-    limit: Limit,
+  private static updateLimit(
+    limit: LimitState,
     perSecond: number | undefined,
     at: number,
   ): LimitChange | undefined {
     if (perSecond === undefined) {
-      if (limit.endedAt !== undefined || at < limit.namedAt + END_AFTER_MS) return undefined;
+      if (limit.endedAt !== undefined || at < limit.advertisedAt + END_DELAY_MS) return undefined;
       limit.endedAt = at;
       return 'ended';
     }
-    if (at <= limit.namedAt) return undefined;
-    // A report from before the end, by a VM that has not heard of the end.
-    if (limit.endedAt !== undefined && at <= limit.endedAt - END_AFTER_MS) return undefined;
-    const isSame = perSecond === limit.perSecond && limit.endedAt === undefined;
+    if (at <= limit.advertisedAt) return undefined;
+    // The report predates the end of the limit and comes from a VM that does not know of the end
+    // yet.
+    if (limit.endedAt !== undefined && at <= limit.endedAt - END_DELAY_MS) return undefined;
+    const isUnchanged = perSecond === limit.perSecond && limit.endedAt === undefined;
     limit.perSecond = perSecond;
-    limit.namedAt = at;
+    limit.advertisedAt = at;
     limit.endedAt = undefined;
-    return isSame ? 'confirmed' : 'named';
+    return isUnchanged ? 'confirmed' : 'named';
   }
 
   /** @internal */
-  private static describe(limit: Limit, now: number): LimitReport[] {
-    const { target, perSecond, namedAt, endedAt } = limit;
-    const named = { ...target, perSecond, ageMs: Math.round(now - namedAt) };
-    if (endedAt === undefined) return [named];
-    return [named, { ...target, perSecond: undefined, ageMs: Math.round(now - endedAt) }];
+  private static toReports(limit: LimitState, now: number): LimitReport[] {
+    const { target, perSecond, advertisedAt, endedAt } = limit;
+    const advertised = { ...target, perSecond, ageMs: Math.round(now - advertisedAt) };
+    if (endedAt === undefined) return [advertised];
+    return [advertised, { ...target, perSecond: undefined, ageMs: Math.round(now - endedAt) }];
   }
 }
--- a/src/limits/PermitIssuer.ts
+++ b/src/limits/PermitIssuer.ts
@@ -1,97 +1,105 @@
-import { ANSWER_MS, ISSUERS, ISSUERS_AT_MOST, PERMIT_MS } from './issuing.js';
+import {
+  ISSUER_TIMEOUT_MS,
+  ISSUERS_PER_TARGET,
+  MAX_ACTIVE_ISSUERS,
+  PERMIT_TTL_MS,
+} from './issuing.js';
 import type { LimitedTarget } from './model.js';
 import { getLimitKey } from './model.js';
-import type { BucketSize } from './TokenBuckets.js';
+import type { BucketConfig } from './TokenBuckets.js';
 import { TokenBuckets } from './TokenBuckets.js';
 
-/** What a target may get in a stretch of time, summed over all VMs. */
-const BOUND = { overage: 1.5, slack: 5, stretchMs: 4_000 };
+/**
+ * Requests that a target may get from all VMs together within any window: `overage` times its
+ * limit, plus `slack` requests.
+ */
+const TARGET_BOUND = { overage: 1.5, slack: 5, windowMs: 4_000 };
 
 const MS_PER_SECOND = 1_000;
 
-/** Longest that a VM is told to wait before it asks again, in milliseconds. */
-const WAIT_MOST_MS = 4_000;
+/** Longest time that a VM is told to wait before its next request for a permit, in milliseconds. */
+const MAX_WAIT_MS = 4_000;
 
 /**
- * VMs that are told to wait are spaced by this part of the time from one permit to the next: not all
- * of them come back.
+ * Retry times given to waiting VMs are spaced by this fraction of the interval between two permits.
+ * They are not spaced by the full interval because some of the VMs do not come back.
  */
-const SPACING_SHARE = 0.25;
+const WAIT_SPACING_SHARE = 0.25;
 
-/** What an issuer says to one ask. */
-export interface PermitVerdict {
+/** An issuer's decision on one request for a permit. */
+export interface PermitDecision {
   readonly isGranted: boolean;
-  /** When to ask again if it is not granted, in milliseconds. */
+  /** Time to wait before the next request if the permit is not granted, in milliseconds. */
   readonly waitMs: number;
 }
 
 /**
- * Issues this VM's part of the permits for limited targets.
+ * Issues this VM's share of the permits for limited targets.
  *
- * Each issuer's bucket is so small that the bound holds with as many issuers as may be active at once,
- * whatever they know of each other.
+ * Each issuer's bucket is small enough that the bound on a target holds with the maximum number of
+ * active issuers, even if they do not know of each other.
  */
 export class PermitIssuer {
-  /** Empty at first: another VM may have issued permits until a moment ago. @internal */
+  /** Buckets start empty: another VM may have issued permits until a moment ago. @internal */
   private readonly buckets = new TokenBuckets(0);
 
-  /** Until when permits are spoken for by VMs that were told to come back. @internal */
-  private readonly promisedUntil = new Map<string, number>();
+  /** Time up to which permits are reserved for VMs that were told to retry. @internal */
+  private readonly reservedUntil = new Map<string, number>();
 
   /**
-   * Grants one request, or says when to ask again. VMs that have to wait are told different times: if
-   * all came back for the next permit, the issuer would be flooded.
+   * Grants a permit for one request or says when to ask again. Waiting VMs are given different
+   * retry times, since the issuer would be flooded if all of them came back for the next permit.
    * @param target - The target.
-   * @param perSecond - Its limit.
-   * @param vms - Entry VMs that have announced themselves.
+   * @param perSecond - The target's limit, in requests per second.
+   * @param vmCount - Number of entry VMs that have announced themselves.
    * @param now - Monotonic milliseconds.
    */
-  ask(target: LimitedTarget, perSecond: number, vms: number, now: number): PermitVerdict {
+  tryIssue(target: LimitedTarget, perSecond: number, vmCount: number, now: number): PermitDecision {
     const key = getLimitKey(target);
-    const size = PermitIssuer.getSize(perSecond, vms);
-    const left = this.buckets.count(key, size, now);
-    if (left >= 1) {
-      this.buckets.take(key, size, now);
+    const config = PermitIssuer.getBucketConfig(perSecond, vmCount);
+    const tokens = this.buckets.getTokens(key, config, now);
+    if (tokens >= 1) {
+      this.buckets.take(key, config, now);
       return { isGranted: true, waitMs: 0 };
     }
-    const eachMs = MS_PER_SECOND / size.perSecond;
-    const nextAt = now + (1 - left) * eachMs;
-    const promisedAt = Math.max(
-      nextAt,
-      (this.promisedUntil.get(key) ?? 0) + SPACING_SHARE * eachMs,
+    const intervalMs = MS_PER_SECOND / config.perSecond;
+    const nextPermitAt = now + (1 - tokens) * intervalMs;
+    const retryAt = Math.max(
+      nextPermitAt,
+      (this.reservedUntil.get(key) ?? 0) + WAIT_SPACING_SHARE * intervalMs,
     );
-    const waitMs = Math.min(WAIT_MOST_MS, promisedAt - now);
-    this.promisedUntil.set(key, now + waitMs);
+    const waitMs = Math.min(MAX_WAIT_MS, retryAt - now);
+    this.reservedUntil.set(key, now + waitMs);
     return { isGranted: false, waitMs: Math.ceil(waitMs) };
   }
 
   /**
-   * Takes a permit back that was not used.
+   * Returns an unused permit to the bucket.
    * @param target - The target.
-   * @param perSecond - Its limit.
-   * @param vms - Entry VMs that have announced themselves.
+   * @param perSecond - The target's limit, in requests per second.
+   * @param vmCount - Number of entry VMs that have announced themselves.
    * @param now - Monotonic milliseconds.
    */
-  takeBack(target: LimitedTarget, perSecond: number, vms: number, now: number): void {
-    this.buckets.add(getLimitKey(target), PermitIssuer.getSize(perSecond, vms), now);
+  reclaim(target: LimitedTarget, perSecond: number, vmCount: number, now: number): void {
+    this.buckets.add(getLimitKey(target), PermitIssuer.getBucketConfig(perSecond, vmCount), now);
   }
 
-  /** Forgets targets that are not limited any more. */
+  /** Removes the state of targets that are no longer limited. */
   keepOnly(isLimited: (key: string) => boolean): void {
     this.buckets.keepOnly(isLimited);
-    for (const key of this.promisedUntil.keys()) {
-      if (!isLimited(key)) this.promisedUntil.delete(key);
+    for (const key of this.reservedUntil.keys()) {
+      if (!isLimited(key)) this.reservedUntil.delete(key);
     }
   }
 
   /** @internal */
-  private static getSize(limit: number, vms: number): BucketSize {
-    const { overage, slack, stretchMs } = BOUND;
-    const perSecond = limit / Math.min(ISSUERS, Math.max(1, vms));
-    const allowed = (overage * limit * stretchMs) / MS_PER_SECOND + slack;
-    // Permits issued before a stretch of time may be used in it.
-    const issuedInMs = stretchMs + PERMIT_MS + ANSWER_MS;
-    const steady = ((limit / ISSUERS) * issuedInMs) / MS_PER_SECOND;
-    return { perSecond, burst: allowed / ISSUERS_AT_MOST - steady };
+  private static getBucketConfig(limit: number, vmCount: number): BucketConfig {
+    const { overage, slack, windowMs } = TARGET_BOUND;
+    const perSecond = limit / Math.min(ISSUERS_PER_TARGET, Math.max(1, vmCount));
+    const allowedRequests = (overage * limit * windowMs) / MS_PER_SECOND + slack;
+    // Permits issued shortly before the window may be used within it.
+    const issueWindowMs = windowMs + PERMIT_TTL_MS + ISSUER_TIMEOUT_MS;
+    const refilledTokens = ((limit / ISSUERS_PER_TARGET) * issueWindowMs) / MS_PER_SECOND;
+    return { perSecond, burst: allowedRequests / MAX_ACTIVE_ISSUERS - refilledTokens };
   }
 }
--- a/src/limits/PermitPool.ts
+++ b/src/limits/PermitPool.ts
@@ -1,183 +1,191 @@
 import type { LimitedTarget, PermitAnswer } from './model.js';
 import { getLimitKey } from './model.js';
 import { getOwners } from './getOwners.js';
-import { ANSWER_MS, ISSUERS, ISSUERS_AT_MOST, PERMIT_MS } from './issuing.js';
+import {
+  ISSUER_TIMEOUT_MS,
+  ISSUERS_PER_TARGET,
+  MAX_ACTIVE_ISSUERS,
+  PERMIT_TTL_MS,
+} from './issuing.js';
 
-/** A silent issuer is asked again after so long, in milliseconds. */
-const SILENT_MS = 1_500;
+/** An issuer that did not answer is asked again after this time, in milliseconds. */
+const UNRESPONSIVE_RETRY_MS = 1_500;
 
-interface AskOut {
+interface PendingRequest {
   readonly id: number;
   readonly vm: string;
   readonly at: number;
 }
 
 interface Permit {
-  /** When it becomes void; monotonic milliseconds. */
-  readonly endsAt: number;
-  /** VM that issued it. */
+  /** When the permit expires; monotonic milliseconds. */
+  readonly expiresAt: number;
+  /** VM that issued the permit. */
   readonly vm: string;
 }
 
-interface Holding {
-  readonly permits: Permit[];
-  asked: AskOut | undefined;
+interface TargetPermits {
+  readonly held: Permit[];
+  pending: PendingRequest | undefined;
   /** When each issuer may be asked again; monotonic milliseconds. */
-  readonly againAt: Map<string, number>;
+  readonly retryAt: Map<string, number>;
   issuers: readonly string[];
-  /** VMs that the issuers were chosen from. */
+  /** VMs that the issuers were selected from. */
   vms: readonly string[];
 }
 
-/** Permits that this VM holds for limited targets, and has asked for. */
+/** Permits for limited targets that this VM holds or has requested. */
 export class PermitPool {
   /** @internal */
-  private readonly holdings = new Map<string, Holding>();
+  private readonly byTarget = new Map<string, TargetPermits>();
 
-  /** Issuers that have not answered lately: when each is asked again. @internal */
-  private readonly silentUntil = new Map<string, number>();
+  /** When each unresponsive issuer may be asked again; monotonic milliseconds. @internal */
+  private readonly unresponsiveUntil = new Map<string, number>();
 
   /** @internal */
-  private lastAsk = 0;
+  private lastRequestId = 0;
 
   /**
-   * Whether a permit for a target is held.
+   * Whether this VM holds a valid permit for a target.
    * @param target - The target.
    * @param now - Monotonic milliseconds.
    */
   has(target: LimitedTarget, now: number): boolean {
-    const permits = this.holdings.get(getLimitKey(target))?.permits;
-    return permits?.some(({ endsAt }) => endsAt > now) ?? false;
+    const held = this.byTarget.get(getLimitKey(target))?.held;
+    return held?.some(({ expiresAt }) => expiresAt > now) ?? false;
   }
 
   /**
-   * Takes a permit out, the one that is void first.
+   * Removes a valid permit from the pool, the one that expires first.
    * @param target - The target.
    * @param now - Monotonic milliseconds.
-   * @returns The VM that issued it; undefined if none is held.
+   * @returns The VM that issued the permit; undefined if none is held.
    */
   take(target: LimitedTarget, now: number): string | undefined {
-    const permits = this.holdings.get(getLimitKey(target))?.permits ?? [];
-    const index = permits.findIndex(({ endsAt }) => endsAt > now);
-    return permits.splice(0, index + 1).at(-1)?.vm;
+    const held = this.byTarget.get(getLimitKey(target))?.held ?? [];
+    const index = held.findIndex(({ expiresAt }) => expiresAt > now);
+    return held.splice(0, index + 1).at(-1)?.vm;
   }
 
   /**
-   * Takes a permit in.
+   * Adds a permit to the pool.
    * @param target - The target.
-   * @param vm - VM that issued it.
+   * @param vm - VM that issued the permit.
    * @param now - Monotonic milliseconds.
    */
   add(target: LimitedTarget, vm: string, now: number): void {
-    this.getHolding(target).permits.push({ endsAt: now + PERMIT_MS, vm });
+    this.getOrCreatePermits(target).held.push({ expiresAt: now + PERMIT_TTL_MS, vm });
   }
 
   /**
-   * Whether an answer about a target is awaited.
+   * Whether a request for a permit is waiting for the issuer's answer.
    * @param target - The target.
    * @param now - Monotonic milliseconds.
    */
-  isAsking(target: LimitedTarget, now: number): boolean {
-    const asked = this.holdings.get(getLimitKey(target))?.asked;
-    return asked !== undefined && now - asked.at < ANSWER_MS;
+  isPending(target: LimitedTarget, now: number): boolean {
+    const pending = this.byTarget.get(getLimitKey(target))?.pending;
+    return pending !== undefined && now - pending.at < ISSUER_TIMEOUT_MS;
   }
 
   /**
-   * The VM to ask for a permit now.
+   * Selects the VM to request a permit from.
    * @param target - The target.
    * @param vms - Entry VMs that have announced themselves.
    * @param now - Monotonic milliseconds.
-   * @returns Undefined if each issuer has said to come back later, or is silent.
+   * @returns Undefined if every issuer is unresponsive or has asked to wait.
    */
-  findIssuer(target: LimitedTarget, vms: readonly string[], now: number): string | undefined {
-    const { againAt } = this.getHolding(target);
-    const issuers = this.getIssuers(target, vms, now);
-    const open = issuers.filter((vm) => (againAt.get(vm) ?? 0) <= now);
-    return open[this.lastAsk % Math.max(1, open.length)];
+  getIssuer(target: LimitedTarget, vms: readonly string[], now: number): string | undefined {
+    const { retryAt } = this.getOrCreatePermits(target);
+    const issuers = this.getActiveIssuers(target, vms, now);
+    const available = issuers.filter((vm) => (retryAt.get(vm) ?? 0) <= now);
+    return available[this.lastRequestId % Math.max(1, available.length)];
   }
 
   /**
-   * When a permit can be asked for.
+   * Earliest time at which a permit can be requested; monotonic milliseconds.
    * @param target - The target.
    * @param vms - Entry VMs that have announced themselves.
    * @param now - Monotonic milliseconds.
    */
-  getOpenAt(target: LimitedTarget, vms: readonly string[], now: number): number {
-    const { againAt } = this.getHolding(target);
-    const times = this.getIssuers(target, vms, now).map((vm) => againAt.get(vm) ?? 0);
-    return times.length === 0 ? now + SILENT_MS : Math.min(...times);
+  getNextRequestAt(target: LimitedTarget, vms: readonly string[], now: number): number {
+    const { retryAt } = this.getOrCreatePermits(target);
+    const retryTimes = this.getActiveIssuers(target, vms, now).map((vm) => retryAt.get(vm) ?? 0);
+    return retryTimes.length === 0 ? now + UNRESPONSIVE_RETRY_MS : Math.min(...retryTimes);
   }
 
-  /** Notes that a VM is being asked; gives the ask's number. */
-  noteAsked(target: LimitedTarget, vm: string, now: number): number {
-    this.lastAsk += 1;
-    this.getHolding(target).asked = { id: this.lastAsk, vm, at: now };
-    return this.lastAsk;
+  /** Records that a permit is being requested from a VM; returns the id of the request. */
+  recordRequest(target: LimitedTarget, vm: string, now: number): number {
+    this.lastRequestId += 1;
+    this.getOrCreatePermits(target).pending = { id: this.lastRequestId, vm, at: now };
+    return this.lastRequestId;
   }
 
   /**
-   * Takes an issuer's answer.
+   * Handles an issuer's answer.
    * @param answer - The answer.
    * @param now - Monotonic milliseconds.
-   * @returns Whether it answers the ask that is out: one that comes late, or twice, grants nothing.
+   * @returns Whether the answer belongs to the pending request. Late and duplicate answers grant
+   * nothing.
    */
-  takeAnswer(answer: PermitAnswer, now: number): boolean {
-    const holding = this.holdings.get(getLimitKey(answer));
-    const asked = holding?.asked;
-    if (holding === undefined || asked?.id !== answer.ask) return false;
-    holding.asked = undefined;
-    this.silentUntil.delete(asked.vm);
-    if (answer.isGranted) this.add(answer, asked.vm, now);
-    else holding.againAt.set(asked.vm, now + answer.waitMs);
+  acceptAnswer(answer: PermitAnswer, now: number): boolean {
+    const permits = this.byTarget.get(getLimitKey(answer));
+    const pending = permits?.pending;
+    if (permits === undefined || pending?.id !== answer.ask) return false;
+    permits.pending = undefined;
+    this.unresponsiveUntil.delete(pending.vm);
+    if (answer.isGranted) this.add(answer, pending.vm, now);
+    else permits.retryAt.set(pending.vm, now + answer.waitMs);
     return true;
   }
 
-  /** Notes that this VM, which issues permits itself, has none to give for a while. */
-  noteDenied(target: LimitedTarget, vm: string, waitMs: number, now: number): void {
-    this.getHolding(target).againAt.set(vm, now + waitMs);
+  /** Records that this VM's own issuer has no permit to grant for a while. */
+  recordDenial(target: LimitedTarget, vm: string, waitMs: number, now: number): void {
+    this.getOrCreatePermits(target).retryAt.set(vm, now + waitMs);
   }
 
   /**
-   * Gives up an ask that was not answered in time.
-   * @returns The VM that is silent; undefined if no ask is overdue.
+   * Drops the pending request if its answer is overdue.
+   * @returns The VM that did not answer; undefined if no request is overdue.
    */
-  takeSilent(target: LimitedTarget, now: number): string | undefined {
-    const holding = this.holdings.get(getLimitKey(target));
-    const asked = holding?.asked;
-    if (holding === undefined || asked === undefined) return undefined;
-    if (now - asked.at < ANSWER_MS) return undefined;
-    holding.asked = undefined;
-    this.silentUntil.set(asked.vm, now + SILENT_MS);
-    return asked.vm;
+  expireRequest(target: LimitedTarget, now: number): string | undefined {
+    const permits = this.byTarget.get(getLimitKey(target));
+    const pending = permits?.pending;
+    if (permits === undefined || pending === undefined) return undefined;
+    if (now - pending.at < ISSUER_TIMEOUT_MS) return undefined;
+    permits.pending = undefined;
+    this.unresponsiveUntil.set(pending.vm, now + UNRESPONSIVE_RETRY_MS);
+    return pending.vm;
   }
 
-  /** Forgets targets that are not limited any more. */
+  /** Removes the state of targets that are no longer limited. */
   keepOnly(isLimited: (key: string) => boolean): void {
-    for (const key of this.holdings.keys()) if (!isLimited(key)) this.holdings.delete(key);
+    for (const key of this.byTarget.keys()) if (!isLimited(key)) this.byTarget.delete(key);
   }
 
-  /** The first issuers that answer, in an order that is the same everywhere. @internal */
-  private getIssuers(
+  /** The first responsive issuers, in an order that is the same on all VMs. @internal */
+  private getActiveIssuers(
     target: LimitedTarget,
     vms: readonly string[],
     now: number,
   ): readonly string[] {
-    const holding = this.getHolding(target);
-    if (holding.vms !== vms) {
-      holding.vms = vms;
-      holding.issuers = getOwners(getLimitKey(target), vms, ISSUERS_AT_MOST);
+    const permits = this.getOrCreatePermits(target);
+    if (permits.vms !== vms) {
+      permits.vms = vms;
+      permits.issuers = getOwners(getLimitKey(target), vms, MAX_ACTIVE_ISSUERS);
     }
-    return holding.issuers.filter((vm) => (this.silentUntil.get(vm) ?? 0) <= now).slice(0, ISSUERS);
+    return permits.issuers
+      .filter((vm) => (this.unresponsiveUntil.get(vm) ?? 0) <= now)
+      .slice(0, ISSUERS_PER_TARGET);
   }
 
   /** @internal */
-  private getHolding(target: LimitedTarget): Holding {
+  private getOrCreatePermits(target: LimitedTarget): TargetPermits {
     const key = getLimitKey(target);
-    let holding = this.holdings.get(key);
-    if (holding === undefined) {
-      holding = { permits: [], asked: undefined, againAt: new Map(), issuers: [], vms: [] };
-      this.holdings.set(key, holding);
+    let permits = this.byTarget.get(key);
+    if (permits === undefined) {
+      permits = { held: [], pending: undefined, retryAt: new Map(), issuers: [], vms: [] };
+      this.byTarget.set(key, permits);
     }
-    return holding;
+    return permits;
   }
 }
--- a/src/limits/TokenBuckets.ts
+++ b/src/limits/TokenBuckets.ts
@@ -1,58 +1,60 @@
-/** How fast a bucket fills, and what it holds. */
-export interface BucketSize {
-  /** Tokens a second. */
+/** Refill rate and capacity of a token bucket. */
+export interface BucketConfig {
+  /** Tokens added per second. */
   readonly perSecond: number;
-  /** Most that it holds. */
+  /** Maximum number of tokens that the bucket holds. */
   readonly burst: number;
 }
 
 interface Bucket {
-  left: number;
-  at: number;
+  tokens: number;
+  refilledAt: number;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Token buckets by key. The size may change with each call, and holds from then on. */
+/**
+ * Token buckets by key. Each call may pass a different configuration, which applies from then on.
+ */
 export class TokenBuckets {
   /** @internal */
   private readonly buckets = new Map<string, Bucket>();
 
-  /** @param first - Tokens in a bucket that is used for the first time. */
-  constructor(private readonly first: number) {}
+  /** @param initialTokens - Tokens in a bucket that is used for the first time. */
+  constructor(private readonly initialTokens: number) {}
 
-  /** Forgets buckets whose key does not pass. */
+  /** Removes the buckets whose keys do not satisfy a predicate. */
   keepOnly(isKept: (key: string) => boolean): void {
     for (const key of this.buckets.keys()) if (!isKept(key)) this.buckets.delete(key);
   }
 
   /**
-   * Tokens in a bucket.
-   * @param key - The bucket.
-   * @param size - How fast it fills, and what it holds.
+   * Refills a bucket and returns the number of tokens in it.
+   * @param key - Key of the bucket.
+   * @param config - Refill rate and capacity.
    * @param now - Monotonic milliseconds.
    */
-  count(key: string, { perSecond, burst }: BucketSize, now: number): number {
+  getTokens(key: string, { perSecond, burst }: BucketConfig, now: number): number {
     let bucket = this.buckets.get(key);
     if (bucket === undefined) {
-      bucket = { left: this.first, at: now };
+      bucket = { tokens: this.initialTokens, refilledAt: now };
       this.buckets.set(key, bucket);
     }
-    const filled = bucket.left + ((now - bucket.at) / MS_PER_SECOND) * perSecond;
-    bucket.left = Math.min(burst, filled);
-    bucket.at = now;
-    return bucket.left;
+    const refilled = bucket.tokens + ((now - bucket.refilledAt) / MS_PER_SECOND) * perSecond;
+    bucket.tokens = Math.min(burst, refilled);
+    bucket.refilledAt = now;
+    return bucket.tokens;
   }
 
-  /** Puts one token in, as far as there is room. */
-  add(key: string, size: BucketSize, now: number): void {
-    const left = this.count(key, size, now);
-    this.buckets.set(key, { left: Math.min(size.burst, left + 1), at: now });
+  /** Adds one token, up to the bucket's capacity. */
+  add(key: string, config: BucketConfig, now: number): void {
+    const tokens = this.getTokens(key, config, now);
+    this.buckets.set(key, { tokens: Math.min(config.burst, tokens + 1), refilledAt: now });
   }
 
-  /** Takes one token; the count may fall below 0. */
-  take(key: string, size: BucketSize, now: number): void {
-    const left = this.count(key, size, now);
-    this.buckets.set(key, { left: left - 1, at: now });
+  /** Removes one token; the number of tokens may fall below 0. */
+  take(key: string, config: BucketConfig, now: number): void {
+    const tokens = this.getTokens(key, config, now);
+    this.buckets.set(key, { tokens: tokens - 1, refilledAt: now });
   }
 }
--- a/src/limits/getOwners.ts
+++ b/src/limits/getOwners.ts
@@ -1,11 +1,11 @@
 import { hashText } from '../core/hash.js';
 
 /**
- * The VMs that share out what a target takes, the same at all VMs that know the same VMs (rendezvous
- * hashing): when a VM goes, only what it owned moves.
- * @param key - The target.
+ * Selects the VMs that share a target's capacity between them, by rendezvous hashing. All VMs that
+ * know the same VMs select the same owners, and when a VM fails only its own share moves.
+ * @param key - Key of the target.
  * @param vms - Names of the entry VMs that are up.
- * @param count - How many own it.
+ * @param count - Number of owners to select.
  * @example
  * getOwners('t-1', ['vm-a', 'vm-b', 'vm-c', 'vm-d'], 3).length; // 3
  */
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,5 +1,5 @@
 export { getOwners } from './getOwners.js';
-export { ISSUERS, ISSUERS_AT_MOST, PERMIT_MS } from './issuing.js';
+export { ISSUERS_PER_TARGET, MAX_ACTIVE_ISSUERS, PERMIT_TTL_MS } from './issuing.js';
 export type { LimitChange } from './LimitView.js';
 export { LimitView } from './LimitView.js';
 export type {
@@ -12,8 +12,8 @@
   PermitReturn,
 } from './model.js';
 export { getLimitKey } from './model.js';
-export type { PermitVerdict } from './PermitIssuer.js';
+export type { PermitDecision } from './PermitIssuer.js';
 export { PermitIssuer } from './PermitIssuer.js';
 export { PermitPool } from './PermitPool.js';
-export type { BucketSize } from './TokenBuckets.js';
+export type { BucketConfig } from './TokenBuckets.js';
 export { TokenBuckets } from './TokenBuckets.js';
--- a/src/limits/issuing.ts
+++ b/src/limits/issuing.ts
@@ -1,14 +1,20 @@
-/** VMs that issue permits for a target, each a third of its limit: two may be down without idling it. */
-export const ISSUERS = 3;
+/**
+ * VMs that issue permits for a target, each for a third of the limit. Two of them may be down
+ * without cutting the target off.
+ */
+export const ISSUERS_PER_TARGET = 3;
 
-/** VMs that may issue permits at once: another stands in for one that is silent. */
-export const ISSUERS_AT_MOST = 4;
+/**
+ * Maximum number of VMs that issue permits for a target at the same time: another VM may have taken
+ * over from an unresponsive one.
+ */
+export const MAX_ACTIVE_ISSUERS = 4;
 
 /**
- * A permit that is not used in this time is void, in milliseconds: permits that are saved up would
- * be used together.
+ * An unused permit expires after this time, in milliseconds. Permits that were saved up would be
+ * used in a burst.
  */
-export const PERMIT_MS = 300;
+export const PERMIT_TTL_MS = 300;
 
-/** An issuer that does not answer in this time is silent, in milliseconds. */
-export const ANSWER_MS = 60;
+/** An issuer that does not answer within this time is considered unresponsive, in milliseconds. */
+export const ISSUER_TIMEOUT_MS = 60;
--- a/src/limits/model.ts
+++ b/src/limits/model.ts
@@ -1,25 +1,34 @@
 import type { TargetId } from '../core/model/index.js';
 
-/** One run of a target: what it named under the same id before it started anew does not count. */
+/**
+ * One run of a target. A limit that the target advertised under the same id before a restart does
+ * not apply.
+ */
 export interface LimitedTarget {
   readonly target: TargetId;
   readonly bornAt: number;
 }
 
-/** What an answer of a target said of its limit. */
+/** What a target's answer said about the target's limit. */
 export interface LimitReport extends LimitedTarget {
-  /** Requests a second that it takes from all entry VMs together; undefined if it named no limit. */
+  /**
+   * Requests per second that the target accepts from all entry VMs together; undefined if the
+   * answer advertised no limit.
+   */
   readonly perSecond: number | undefined;
-  /** Time since the answer, in milliseconds. */
+  /** Age of the answer, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** Asks for a permit for one request to go to a limited target. */
+/** Requests a permit to send one request to a limited target. */
 export interface PermitAsk extends LimitedTarget {
   readonly kind: 'permitAsk';
-  /** Number that the asking VM gave it. */
+  /** Id that the requesting VM gave the request. */
   readonly ask: number;
-  /** What the asking VM knows, so that an issuer which has just started need not know anything. */
+  /**
+   * What the requesting VM knows of the limit, so that an issuer that has just started needs no
+   * state.
+   */
   readonly reports: readonly LimitReport[];
 }
 
@@ -28,27 +37,27 @@
   readonly kind: 'permitAnswer';
   readonly ask: number;
   readonly isGranted: boolean;
-  /** When to ask again if it is not granted, in milliseconds. */
+  /** Time to wait before the next request if the permit is not granted, in milliseconds. */
   readonly waitMs: number;
   readonly reports: readonly LimitReport[];
 }
 
-/** Gives a permit back that was not used. */
+/** Returns an unused permit to its issuer. */
 export interface PermitReturn extends LimitedTarget {
   readonly kind: 'permitReturn';
 }
 
-/** Tells what targets said. */
+/** Spreads what targets' answers said about their limits. */
 export interface LimitNews {
   readonly kind: 'limitNews';
   readonly reports: readonly LimitReport[];
 }
 
-/** What VMs tell each other about limits. */
+/** Messages about limits that VMs exchange. */
 export type LimitMessage = PermitAsk | PermitAnswer | PermitReturn | LimitNews;
 
 /**
- * Key of a target's run.
+ * Key that identifies a run of a target.
  * @param target - The target.
  */
 export function getLimitKey({ target, bornAt }: LimitedTarget): string {
--- a/src/platform/ObjectStore.ts
+++ b/src/platform/ObjectStore.ts
@@ -23,18 +23,19 @@
   encodeRolloutStatus,
 } from './decode.js';
 
-const PATH = '/masticlink/objects';
+const OBJECTS_PATH = '/masticlink/objects';
 
-/** A call is given up if no answer has begun after this time, in milliseconds. */
+/** Time within which an answer has to begin, in milliseconds; after that the call is abandoned. */
 const CALL_TIMEOUT_MS = 800;
 
 /**
- * The same for a watch, on top of what it waits: the store answers by itself then, and a connection
- * that went silent has to be noticed within the time that a change may take.
+ * Additional time for a watch, on top of its own wait, in milliseconds. The store answers by itself
+ * at the end of the wait, and a silent connection has to be noticed within the time in which
+ * changes have to arrive.
  */
-const WATCH_TIMEOUT_MS = 500;
+const WATCH_MARGIN_MS = 500;
 
-/** An answer that has begun is given up if it is not whole after this time, in milliseconds. */
+/** Time within which an answer that has begun has to be complete, in milliseconds. */
 const ANSWER_TIMEOUT_MS = 800;
 
 const CREATED = 201;
@@ -45,7 +46,7 @@
 const TOO_MANY = 429;
 const UNAVAILABLE = 503;
 
-/** A stored object as it comes. */
+/** A stored object as received. */
 interface StoredObject {
   readonly metadata: RolloutMetadata & { readonly deleting?: boolean };
   readonly spec?: unknown;
@@ -59,20 +60,23 @@
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Where a section lies, and how its objects are read. */
-interface SectionCodec<S extends Section> {
+/** Object kind of a section, and the decoder of its objects. */
+interface SectionDecoder<S extends Section> {
   readonly kind: string;
-  /** Undefined for objects of the kind that are not meant. */
+  /** Returns undefined for objects of this kind that do not belong to the section. */
   decode(object: StoredObject): SectionValues[S] | undefined;
 }
 
-/** What a target writes lies at the top level, in the content or in the status of its object. */
-function joinTarget({ spec, status, ...rest }: StoredObject): unknown {
+/**
+ * Merges a target's fields, which may be at the top level, in the spec or in the status of its
+ * object.
+ */
+function mergeTargetFields({ spec, status, ...rest }: StoredObject): unknown {
   const content = typeof spec === 'object' && spec !== null ? spec : {};
   return { ...rest, ...content, status: status ?? (content as { status?: unknown }).status };
 }
 
-const CODECS: { readonly [S in Section]: SectionCodec<S> } = {
+const DECODERS: { readonly [S in Section]: SectionDecoder<S> } = {
   configuration: {
     kind: 'config',
     decode: ({ metadata, spec }) =>
@@ -80,7 +84,7 @@
   },
   targets: {
     kind: 'servers',
-    decode: (object) => decodeTarget(object.metadata.name, joinTarget(object)),
+    decode: (object) => decodeTarget(object.metadata.name, mergeTargetFields(object)),
   },
   zonesOut: {
     kind: 'evacuations',
@@ -94,11 +98,14 @@
   vms: { kind: 'entry-vms', decode: ({ spec }) => decodeRoster(spec) },
 };
 
-/** Told of each stored object that can't be read. */
+/** Called for each stored object that cannot be decoded. */
 export type UnreadableHandler = (section: Section, name: string, reason: string) => void;
 
-function unexpected(call: string, section: Section, status: number): StoreCallError {
-  return new StoreCallError('protocol', `${call} of ${section} was answered with ${status}`);
+function makeError(call: string, section: Section, status: number): StoreCallError {
+  return new StoreCallError(
+    'protocol',
+    `${call} of ${section} failed with unexpected status ${status}`,
+  );
 }
 
 async function readAnswer(res: IncomingMessage, call: string): Promise<Answer> {
@@ -109,13 +116,13 @@
     throw new StoreCallError('unknown', `${call}: ${(err as Error).message}`);
   }
   const status = res.statusCode ?? 0;
-  if (status === TOO_MANY) throw new StoreCallError('throttled', `${call}: too many calls`);
-  if (status === UNAVAILABLE) throw new StoreCallError('unavailable', `${call}: unavailable`);
+  if (status === TOO_MANY) throw new StoreCallError('throttled', `${call}: too many requests`);
+  if (status === UNAVAILABLE) throw new StoreCallError('unavailable', `${call}: store unavailable`);
   const text = Buffer.concat(chunks).toString();
   try {
     return { status, body: text === '' ? {} : (JSON.parse(text) as Answer['body']) };
   } catch {
-    throw new StoreCallError('protocol', `${call}: the answer is no JSON`);
+    throw new StoreCallError('protocol', `${call}: the answer is not valid JSON`);
   }
 }
 
@@ -124,12 +131,12 @@
   /** @internal */
   private readonly agent = new Agent({ keepAlive: true, maxFreeSockets: 4 });
 
-  /** Calls made so far, by method and section. */
+  /** Number of calls made so far, by method and section. */
   readonly calls = new Map<string, number>();
 
   /**
-   * @param address - IP number and port.
-   * @param onUnreadable - Told of each object that can't be read.
+   * @param address - IP address and port.
+   * @param onUnreadable - Called for each object that cannot be decoded.
    */
   constructor(
     private address: string,
@@ -137,10 +144,10 @@
   ) {}
 
   /**
-   * Goes on with another address.
-   * @param address - IP number and port.
+   * Sets the address for further calls.
+   * @param address - IP address and port.
    */
-  moveTo(address: string): void {
+  setAddress(address: string): void {
     this.address = address;
   }
 
@@ -155,9 +162,9 @@
       const query = new URLSearchParams();
       if (after !== '') query.set('after', after);
       if (freshness === 'mayBeOld') query.set('allow_stale', '1');
-      const path = `${PATH}/${CODECS[section].kind}${query.size > 0 ? `?${query}` : ''}`;
+      const path = `${OBJECTS_PATH}/${DECODERS[section].kind}${query.size > 0 ? `?${query}` : ''}`;
       const { status, body } = await this.call('GET', path, section);
-      if (status !== OK || !Array.isArray(body.items)) throw unexpected('list', section, status);
+      if (status !== OK || !Array.isArray(body.items)) throw makeError('list', section, status);
       const objects = body.items as StoredObject[];
       const page = objects.map((object) => this.decode(section, object, false));
       items.push(...page);
@@ -172,52 +179,53 @@
     revision: number,
     waitMs: number,
   ): Promise<WatchAnswer<S>> {
-    const { kind } = CODECS[section];
-    const path = `${PATH}/${kind}?watch=${revision}&wait_ms=${waitMs}`;
+    const { kind } = DECODERS[section];
+    const path = `${OBJECTS_PATH}/${kind}?watch=${revision}&wait_ms=${waitMs}`;
     const { status, body } = await this.call('GET', path, section, undefined, waitMs);
     if (status === GONE) return 'historyGone';
-    if (status !== OK || !Array.isArray(body.events)) throw unexpected('watch', section, status);
+    if (status !== OK || !Array.isArray(body.events)) throw makeError('watch', section, status);
     const events = body.events as { object: StoredObject; deleted: boolean }[];
     const items = events.map(({ object, deleted }) => this.decode(section, object, deleted));
     return { items, revision: Number(body.store_revision) };
   }
 
   async announce(announcer: string, roster: VmRoster, hasAnnounced: boolean): Promise<void> {
-    const write = hasAnnounced
+    const attempts = hasAnnounced
       ? [this.replaceRoster, this.createRoster]
       : [this.createRoster, this.replaceRoster];
-    for (const each of write) {
-      const status = await each.call(this, announcer, roster);
+    for (const attempt of attempts) {
+      const status = await attempt.call(this, announcer, roster);
       if (status === OK || status === CREATED) return;
-      if (status !== CONFLICT && status !== NOT_FOUND) throw unexpected('announce', 'vms', status);
+      if (status !== CONFLICT && status !== NOT_FOUND) throw makeError('announce', 'vms', status);
     }
-    throw unexpected('announce', 'vms', CONFLICT);
+    throw makeError('announce', 'vms', CONFLICT);
   }
 
   async writeRolloutState(order: RolloutOrder, state: RolloutState): Promise<boolean> {
     const { name, version, revision } = order;
     const object = { metadata: { name, revision }, status: encodeRolloutStatus(version, state) };
-    const path = `${PATH}/${CODECS.rollouts.kind}/${name}/status`;
+    const path = `${OBJECTS_PATH}/${DECODERS.rollouts.kind}/${name}/status`;
     const { status } = await this.call('PUT', path, 'rollouts', object);
     if (status === OK) return true;
-    // Somebody else has written it, or operators have changed or removed the order.
+    // Another VM has written a state, or an operator has changed or removed the order.
     if (status === CONFLICT || status === NOT_FOUND) return false;
-    throw unexpected('write', 'rollouts', status);
+    throw makeError('write', 'rollouts', status);
   }
 
   /** @internal */
   private async createRoster(name: string, spec: VmRoster): Promise<number> {
     const object = { metadata: { name }, spec };
-    return (await this.call('POST', `${PATH}/${CODECS.vms.kind}`, 'vms', object)).status;
+    return (await this.call('POST', `${OBJECTS_PATH}/${DECODERS.vms.kind}`, 'vms', object)).status;
   }
 
   /** @internal */
   private async replaceRoster(name: string, spec: VmRoster): Promise<number> {
     const object = { metadata: { name }, spec };
-    return (await this.call('PUT', `${PATH}/${CODECS.vms.kind}/${name}`, 'vms', object)).status;
+    return (await this.call('PUT', `${OBJECTS_PATH}/${DECODERS.vms.kind}/${name}`, 'vms', object))
+      .status;
   }
 
-  /** Ends the connections. */
+  /** Closes all connections. */
   close(): void {
     this.agent.destroy();
   }
@@ -226,12 +234,12 @@
   private decode<S extends Section>(
     section: S,
     object: StoredObject,
-    isGone: boolean,
+    isDeleted: boolean,
   ): StoredItem<S> {
     const { name } = object.metadata;
-    if (isGone) return { name, value: undefined };
+    if (isDeleted) return { name, value: undefined };
     try {
-      return { name, value: CODECS[section].decode(object) };
+      return { name, value: DECODERS[section].decode(object) };
     } catch (err) {
       if (!(err instanceof DecodeError)) throw err;
       this.onUnreadable(section, name, err.message);
@@ -247,8 +255,8 @@
     body?: unknown,
     waitMs = 0,
   ): Promise<Answer> {
-    const counter = `${method} ${section}`;
-    this.calls.set(counter, (this.calls.get(counter) ?? 0) + 1);
+    const counterKey = `${method} ${section}`;
+    this.calls.set(counterKey, (this.calls.get(counterKey) ?? 0) + 1);
     const [host, port] = this.address.split(':');
     const text = body === undefined ? undefined : JSON.stringify(body);
     return new Promise((resolve, reject) => {
@@ -260,18 +268,18 @@
           : { 'Content-Type': 'application/json', 'Content-Length': Buffer.byteLength(text) };
       let timer: NodeJS.Timeout | undefined;
       let req: ClientRequest | undefined;
-      const limit = (ms: number): void => {
+      const startTimer = (ms: number): void => {
         clearTimeout(timer);
         timer = setTimeout(() => {
-          fail('no answer in time');
+          fail('timed out waiting for an answer');
           req?.destroy();
         }, ms);
       };
       req = request({ host, port, method, path, headers, agent: this.agent }, (res) => {
-        limit(ANSWER_TIMEOUT_MS);
+        startTimer(ANSWER_TIMEOUT_MS);
         readAnswer(res, `${method} ${path}`).then(resolve, reject);
       });
-      limit(waitMs > 0 ? waitMs + WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS);
+      startTimer(waitMs > 0 ? waitMs + WATCH_MARGIN_MS : CALL_TIMEOUT_MS);
       req.once('error', (err) => fail(err.message));
       req.once('close', () => clearTimeout(timer));
       req.end(text);
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -1,28 +1,33 @@
-/** Headers of requests and answers. Names are compared in lower case. */
+/** Header names of requests and answers, in lower case for comparison. */
 
-/** Id of a caller's request; a target repeats it in its answer. */
-export const REQUEST_ID = 'x-masticlink-request-id';
+/** Id of a caller's request, which a target repeats in its answer. */
+export const REQUEST_ID_HEADER = 'x-masticlink-request-id';
 
-/** Milliseconds that the sender waits for an answer. */
-export const DEADLINE_MS = 'x-masticlink-deadline-ms';
+/** Time that the sender waits for an answer, in milliseconds. */
+export const DEADLINE_HEADER = 'x-masticlink-deadline-ms';
 
-/** Proof that an answer was made by a target; our own answers never bear it. */
-export const SIGNATURE = 'x-masticlink-response-signature';
+/** Proof that a target made the answer; answers that an entry VM makes itself never carry it. */
+export const RESPONSE_SIGNATURE_HEADER = 'x-masticlink-response-signature';
 
-/** Id of the one target that may run a request. */
-export const EXPECTED_TARGET = 'x-masticlink-target-instance';
+/** Id of the only target that may run the request. */
+export const EXPECTED_TARGET_HEADER = 'x-masticlink-target-instance';
 
-/** Id of the target that answers. */
-export const TARGET_ID = 'x-masticlink-instance-id';
+/** Id of the target that answered. */
+export const TARGET_ID_HEADER = 'x-masticlink-instance-id';
 
-/** Present in an answer if the target has not run the request and never will. */
-export const NOT_EXECUTED = 'x-masticlink-not-executed';
+/** Present if the target has not run the request and never will. */
+export const NOT_EXECUTED_HEADER = 'x-masticlink-not-executed';
 
-/** Running, waiting, slots and, as a fourth figure, slowdown of the target's VM in percent. */
-export const LOAD = 'x-masticlink-server-load';
+/**
+ * Running requests, waiting requests, slots and, optionally, slowdown of the target's VM in
+ * percent.
+ */
+export const LOAD_HEADER = 'x-masticlink-server-load';
 
-/** Requests a second that the target takes from all entry VMs together, while it says so. */
-export const LIMIT = 'server-limit';
+/**
+ * Requests per second that the target accepts from all entry VMs together; absent if not limited.
+ */
+export const LIMIT_HEADER = 'server-limit';
 
-/** How much longer a target stays cold, in milliseconds; only in answers to probes. */
-export const COLD_MS = 'x-masticlink-warmup-ms';
+/** Time that the target remains cold, in milliseconds; only in answers to probes. */
+export const COLD_HEADER = 'x-masticlink-warmup-ms';
--- a/src/platform/readLimit.ts
+++ b/src/platform/readLimit.ts
@@ -1,21 +1,21 @@
 import type { NamedLimit } from '../balancing/index.js';
 
-const DECIMAL = /^\d+(?:\.\d+)?$/;
+const DECIMAL_PATTERN = /^\d+(?:\.\d+)?$/;
 
 /**
- * Reads the limit that a target names in an answer. Of several values the lowest holds; values that
- * are no decimal number are passed over if there is another.
- * @param text - Value of the limit header; undefined if it is not there.
- * @returns Requests a second; undefined if none is named.
+ * Parses the limit that a target advertises in an answer. The lowest of several values applies;
+ * values that are not decimal numbers are ignored if another value is valid.
+ * @param text - Value of the limit header; undefined if the header is absent.
+ * @returns Requests per second; undefined if no limit is advertised.
  * @example
  * readLimit('1.3'); // 1.3
  */
 export function readLimit(text: string | undefined): NamedLimit {
   if (text === undefined) return undefined;
-  const figures = text
+  const limits = text
     .split(',')
     .map((part) => part.trim())
-    .filter((part) => DECIMAL.test(part))
+    .filter((part) => DECIMAL_PATTERN.test(part))
     .map(Number);
-  return figures.length === 0 ? 'unreadable' : Math.min(...figures);
+  return limits.length === 0 ? 'unreadable' : Math.min(...limits);
 }
--- a/src/platform/readLoad.ts
+++ b/src/platform/readLoad.ts
@@ -1,14 +1,14 @@
 import type { LoadReading } from '../balancing/index.js';
 
-/** The slowdown comes in percent. */
-const PERCENT = 100;
+/** The slowdown is given in percent. */
+const PERCENT_PER_UNIT = 100;
 
 /**
- * Reads what a target says of its load.
- * @param text - Value of the load header; undefined if it is not there.
- * @param isHealthy - Whether the target says that it is well.
+ * Parses the load that a target reports.
+ * @param text - Value of the load header; undefined if the header is absent.
+ * @param isHealthy - Whether the target reports that it is healthy.
  * @param now - Monotonic milliseconds.
- * @returns The reading; undefined if the header is not there or can't be read.
+ * @returns The reading; undefined if the header is absent or invalid.
  * @example
  * readLoad('3,0,8,400', true, 0)?.slowdown; // 4
  */
@@ -18,10 +18,10 @@
   now: number,
 ): LoadReading | undefined {
   if (text === undefined) return undefined;
-  const figures = text.split(',').map((part) => Number(part.trim()));
-  const [running, waiting, slots, slowdown = PERCENT] = figures;
+  const numbers = text.split(',').map((part) => Number(part.trim()));
+  const [running, waiting, slots, slowdown = PERCENT_PER_UNIT] = numbers;
   const isReadable =
-    figures.length >= 3 && figures.every((figure) => Number.isFinite(figure) && figure >= 0);
+    numbers.length >= 3 && numbers.every((each) => Number.isFinite(each) && each >= 0);
   if (!isReadable || slots === 0) return undefined;
-  return { at: now, running, waiting, slots, slowdown: slowdown / PERCENT, isHealthy };
+  return { at: now, running, waiting, slots, slowdown: slowdown / PERCENT_PER_UNIT, isHealthy };
 }
--- a/src/platform/requests.ts
+++ b/src/platform/requests.ts
@@ -2,54 +2,54 @@
 
 import type { LoadReading, NamedLimit } from '../balancing/index.js';
 import {
-  COLD_MS,
-  DEADLINE_MS,
-  EXPECTED_TARGET,
-  LIMIT,
-  LOAD,
-  NOT_EXECUTED,
-  REQUEST_ID,
-  SIGNATURE,
-  TARGET_ID,
+  COLD_HEADER,
+  DEADLINE_HEADER,
+  EXPECTED_TARGET_HEADER,
+  LIMIT_HEADER,
+  LOAD_HEADER,
+  NOT_EXECUTED_HEADER,
+  REQUEST_ID_HEADER,
+  RESPONSE_SIGNATURE_HEADER,
+  TARGET_ID_HEADER,
 } from './headers.js';
 import { readLimit } from './readLimit.js';
 import { readLoad } from './readLoad.js';
 
-/** What a caller's request says of itself. */
+/** Contents of the headers of a caller's request. */
 export interface CallerHead {
   /** Id that the caller chose; undefined if it sent none. */
   readonly callerRequestId: string | undefined;
-  /** Time that the caller allows, in milliseconds; undefined if it names none. */
+  /** Time that the caller allows, in milliseconds; undefined if it sent none. */
   readonly allowedMs: number | undefined;
 }
 
 /**
- * Reads what a caller's request says of itself.
- * @param headers - Its headers.
+ * Reads the headers of a caller's request.
+ * @param headers - Headers of the request.
  */
 export function readCallerHead(headers: IncomingHttpHeaders): CallerHead {
-  const id = headers[REQUEST_ID];
-  const allowedMs = Number(headers[DEADLINE_MS]);
+  const id = headers[REQUEST_ID_HEADER];
+  const allowedMs = Number(headers[DEADLINE_HEADER]);
   return {
     callerRequestId: typeof id === 'string' ? id : undefined,
     allowedMs:
-      headers[DEADLINE_MS] !== undefined && Number.isFinite(allowedMs) && allowedMs >= 0
+      headers[DEADLINE_HEADER] !== undefined && Number.isFinite(allowedMs) && allowedMs >= 0
         ? allowedMs
         : undefined,
   };
 }
 
-/** Headers that this entry VM sets itself on what it sends to a target. */
-const OWN_TOWARDS_TARGET: ReadonlySet<string> = new Set([
-  DEADLINE_MS,
-  EXPECTED_TARGET,
+/** Headers that this entry VM sets itself on requests to a target, in place of the caller's. */
+const OVERWRITTEN_HEADERS: ReadonlySet<string> = new Set([
+  DEADLINE_HEADER,
+  EXPECTED_TARGET_HEADER,
   'content-length',
 ]);
 
 /**
- * Headers for a request on its way to a target.
- * @param headers - Names and values in turn, without those that concern one connection.
- * @param target - Id of the only target that may run it.
+ * Builds the headers of a request to a target.
+ * @param headers - Names and values in turn, without headers that apply to a single connection.
+ * @param target - Id of the only target that may run the request.
  * @param allowedMs - Time that the target has, in milliseconds.
  * @param bodyBytes - Length of the body; undefined if the request has none.
  */
@@ -61,7 +61,7 @@
 ): string[] {
   const written: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
-    if (!OWN_TOWARDS_TARGET.has(headers[i].toLowerCase())) {
+    if (!OVERWRITTEN_HEADERS.has(headers[i].toLowerCase())) {
       written.push(headers[i], headers[i + 1]);
     }
   }
@@ -71,34 +71,34 @@
   return written;
 }
 
-/** What the head of a target's answer says. */
+/** Contents of the headers of a target's answer. */
 export interface TargetHead {
-  /** Id of the request that it answers. */
+  /** Id of the request that is answered. */
   readonly callerRequestId: string | undefined;
-  /** Id of the target, where it tells it. */
+  /** Id of the target, if the answer gives it. */
   readonly target: string | undefined;
-  /** Whether it bears the proof that a target made it. */
+  /** Whether the answer carries the proof that a target made it. */
   readonly isSigned: boolean;
   /** Whether the target has not run the request and never will. */
   readonly hasNotRun: boolean;
-  /** Whether the body is not as the target made it. */
+  /** Whether the body has a content encoding and is therefore not as the target made it. */
   readonly isEncoded: boolean;
   readonly reading: LoadReading | undefined;
-  /** How much longer the target stays cold, in milliseconds. */
+  /** Time that the target remains cold, in milliseconds. */
   readonly coldMs: number;
-  /** Requests a second that it takes from all entry VMs together. */
+  /** Requests per second that the target accepts from all entry VMs together. */
   readonly limit: NamedLimit;
 }
 
-function getText(headers: IncomingHttpHeaders, name: string): string | undefined {
+function getSingleHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return typeof value === 'string' ? value : undefined;
 }
 
 /**
- * Reads the head of a target's answer to a request or a probe.
- * @param headers - Its headers.
- * @param isHealthy - Whether its status says that the target is well.
+ * Reads the headers of a target's answer to a request or a probe.
+ * @param headers - Headers of the answer.
+ * @param isHealthy - Whether the status says that the target is healthy.
  * @param now - Monotonic milliseconds.
  */
 export function readTargetHead(
@@ -106,15 +106,15 @@
   isHealthy: boolean,
   now: number,
 ): TargetHead {
-  const coldMs = Number(headers[COLD_MS] ?? 0);
+  const coldMs = Number(headers[COLD_HEADER] ?? 0);
   return {
-    callerRequestId: getText(headers, REQUEST_ID),
-    target: getText(headers, TARGET_ID),
-    isSigned: headers[SIGNATURE] !== undefined,
-    hasNotRun: headers[NOT_EXECUTED] !== undefined,
+    callerRequestId: getSingleHeader(headers, REQUEST_ID_HEADER),
+    target: getSingleHeader(headers, TARGET_ID_HEADER),
+    isSigned: headers[RESPONSE_SIGNATURE_HEADER] !== undefined,
+    hasNotRun: headers[NOT_EXECUTED_HEADER] !== undefined,
     isEncoded: headers['content-encoding'] !== undefined,
-    reading: readLoad(getText(headers, LOAD), isHealthy, now),
+    reading: readLoad(getSingleHeader(headers, LOAD_HEADER), isHealthy, now),
     coldMs: Number.isFinite(coldMs) ? coldMs : 0,
-    limit: readLimit(getText(headers, LIMIT)),
+    limit: readLimit(getSingleHeader(headers, LIMIT_HEADER)),
   };
 }
--- a/src/platform/standIn/PlatformTarget.ts
+++ b/src/platform/standIn/PlatformTarget.ts
@@ -3,66 +3,69 @@
 import type { AddressInfo } from 'node:net';
 
 import {
-  COLD_MS,
-  EXPECTED_TARGET,
-  LIMIT,
-  LOAD,
-  NOT_EXECUTED,
-  REQUEST_ID,
-  SIGNATURE,
-  TARGET_ID,
+  COLD_HEADER,
+  EXPECTED_TARGET_HEADER,
+  LIMIT_HEADER,
+  LOAD_HEADER,
+  NOT_EXECUTED_HEADER,
+  REQUEST_ID_HEADER,
+  RESPONSE_SIGNATURE_HEADER,
+  TARGET_ID_HEADER,
 } from '../headers.js';
 
-/** How a target behaves. */
-export type TargetMood = 'sound' | 'slow' | 'slowWhenFull' | 'fails' | 'hangs' | 'cuts' | 'sheds';
+/** How a target responds to requests; used to inject faults. */
+export type TargetBehaviour =
+  'sound' | 'slow' | 'slowWhenFull' | 'fails' | 'hangs' | 'cuts' | 'sheds';
 
-/** How a target is made. */
+/** Properties of a stand-in target. */
 export interface PlatformTargetOptions {
   readonly id: string;
   readonly slots: number;
   /** Time that a request takes, in milliseconds. */
   readonly workMs: number;
-  /** Told as a request begins to run. */
+  /** Called when a request begins to run. */
   readonly onRun: (requestId: string) => void;
 }
 
-/** Work of a slow target takes so many times as long. */
-const SLOW_FACTOR = 5;
+/** Factor by which the work of a slow target takes longer. */
+const SLOWDOWN_FACTOR = 5;
 
-/** Part of its answers that a failing target fails, by count: each second one. */
-const FAILS_EACH = 2;
+/** A failing target fails one of this many requests. */
+const FAILURE_INTERVAL = 2;
 
-/** Requests that wait for a slot before the target rejects more. */
-const QUEUE = 4;
+/** Number of requests that may wait for a slot before the target rejects further ones. */
+const QUEUE_SIZE = 4;
 
 /**
- * What a target answers to a request; a caller checks by it that the answer is its own and whole.
+ * Body of a target's answer, by which a caller checks that the answer is complete and its own.
  * @param requestId - Id of the request.
  */
 export function makeBody(requestId: string): string {
   return `${requestId} `.repeat(40);
 }
 
-/** A target of the platform as a stand-in: slots, load reports, rejections, faults at will. */
+/**
+ * Stand-in for a target of the platform, with slots, load reports, rejections and injected faults.
+ */
 export class PlatformTarget {
-  mood: TargetMood = 'sound';
+  behaviour: TargetBehaviour = 'sound';
 
-  /** What it names as its limit; undefined if it names none. */
+  /** Limit that the target advertises; undefined if it has none. */
   limit: string | undefined;
 
   /** @internal */
   private running = 0;
 
   /** @internal */
-  private runs = 0;
+  private runCount = 0;
 
   /** @internal */
-  private readonly waiting: (() => void)[] = [];
+  private readonly queue: (() => void)[] = [];
 
   /** @internal */
   private readonly server: Server;
 
-  /** @param options - How it is made. */
+  /** @param options - Properties of the target. */
   constructor(private readonly options: PlatformTargetOptions) {
     this.server = createServer((req, res) => {
       req.resume();
@@ -70,7 +73,7 @@
     });
   }
 
-  /** Listens on a free port of loopback; gives IP number and port. */
+  /** Listens on a free loopback port; returns the IP address and port. */
   async start(): Promise<string> {
     await new Promise<void>((resolve) => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -79,7 +82,7 @@
     return `127.0.0.1:${port}`;
   }
 
-  /** Ends it at once, as a crash does. */
+  /** Stops the target abruptly, as in a crash. */
   crash(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -88,62 +91,62 @@
   /** @internal */
   private handle(req: IncomingMessage, res: ServerResponse): void {
     const { id, slots } = this.options;
-    res.setHeader(LOAD, `${this.running},${this.waiting.length},${slots},100`);
-    res.setHeader(TARGET_ID, id);
+    res.setHeader(LOAD_HEADER, `${this.running},${this.queue.length},${slots},100`);
+    res.setHeader(TARGET_ID_HEADER, id);
     if (req.url === '/health') {
-      res.setHeader(COLD_MS, '0');
+      res.setHeader(COLD_HEADER, '0');
       res.writeHead(200).end();
       return;
     }
-    if (this.limit !== undefined) res.setHeader(LIMIT, this.limit);
-    const requestId = String(req.headers[REQUEST_ID]);
-    const expected = req.headers[EXPECTED_TARGET];
+    if (this.limit !== undefined) res.setHeader(LIMIT_HEADER, this.limit);
+    const requestId = String(req.headers[REQUEST_ID_HEADER]);
+    const expected = req.headers[EXPECTED_TARGET_HEADER];
     if (expected !== undefined && expected !== id) res.writeHead(421).end();
-    else if (this.mood === 'sheds' || this.waiting.length >= QUEUE) {
-      res.writeHead(503, { [NOT_EXECUTED]: '1' }).end();
+    else if (this.behaviour === 'sheds' || this.queue.length >= QUEUE_SIZE) {
+      res.writeHead(503, { [NOT_EXECUTED_HEADER]: '1' }).end();
     } else if (this.running < slots) this.run(requestId, res);
-    else this.waiting.push(() => this.run(requestId, res));
+    else this.queue.push(() => this.run(requestId, res));
   }
 
   /** @internal */
   private run(requestId: string, res: ServerResponse): void {
     if (res.destroyed) {
-      this.waiting.shift()?.();
+      this.queue.shift()?.();
       return;
     }
     const { workMs, onRun } = this.options;
     this.running += 1;
-    this.runs += 1;
+    this.runCount += 1;
     onRun(requestId);
-    const { mood, isSlow } = this;
+    const { behaviour, isSlow } = this;
     const timer = setTimeout(
-      () => this.finish(requestId, res, mood),
-      workMs * (isSlow ? SLOW_FACTOR : 1),
+      () => this.finish(requestId, res, behaviour),
+      workMs * (isSlow ? SLOWDOWN_FACTOR : 1),
     );
     res.once('close', () => {
       clearTimeout(timer);
       this.running -= 1;
-      this.waiting.shift()?.();
+      this.queue.shift()?.();
     });
   }
 
   /** @internal */
   private get isSlow(): boolean {
     const isFull = this.running >= this.options.slots;
-    return this.mood === 'slow' || (this.mood === 'slowWhenFull' && isFull);
+    return this.behaviour === 'slow' || (this.behaviour === 'slowWhenFull' && isFull);
   }
 
   /** @internal */
-  private finish(requestId: string, res: ServerResponse, mood: TargetMood): void {
-    if (mood === 'hangs') return;
+  private finish(requestId: string, res: ServerResponse, behaviour: TargetBehaviour): void {
+    if (behaviour === 'hangs') return;
     const body = makeBody(requestId);
-    const hasFailed = mood === 'fails' && this.runs % FAILS_EACH === 0;
+    const hasFailed = behaviour === 'fails' && this.runCount % FAILURE_INTERVAL === 0;
     res.writeHead(hasFailed ? 500 : 200, {
-      [REQUEST_ID]: requestId,
-      [SIGNATURE]: `s.${requestId}`,
+      [REQUEST_ID_HEADER]: requestId,
+      [RESPONSE_SIGNATURE_HEADER]: `s.${requestId}`,
       'Content-Length': body.length,
     });
-    if (mood !== 'cuts') {
+    if (behaviour !== 'cuts') {
       res.end(body);
       return;
     }
--- a/src/platform/standIn/index.ts
+++ b/src/platform/standIn/index.ts
@@ -1,5 +1,5 @@
 export { PlatformStore } from './PlatformStore.js';
-export type { TargetMood } from './PlatformTarget.js';
+export type { TargetBehaviour } from './PlatformTarget.js';
 export { makeBody, PlatformTarget } from './PlatformTarget.js';
 export {
   getRolloutState,
@@ -12,4 +12,4 @@
   SIGNATURE_HEADER,
   writeAddressesPath,
   writeCallerHeaders,
-} from './writeStored.js';
+} from './storedObjects.js';
--- a/src/platform/standIn/writeStored.ts
+++ b/src/platform/standIn/storedObjects.ts
@@ -1,14 +1,14 @@
 import type { RoutingTable, TargetEntry } from '../../balancing/index.js';
-import { DEADLINE_MS, REQUEST_ID, SIGNATURE } from '../headers.js';
+import { DEADLINE_HEADER, REQUEST_ID_HEADER, RESPONSE_SIGNATURE_HEADER } from '../headers.js';
 import { ADDRESSES_PATH } from '../pages.js';
 import type { PlatformStore } from './PlatformStore.js';
 
-function writeMs(ms: number): string {
+function formatMs(ms: number): string {
   return `${ms}ms`;
 }
 
 /**
- * Puts a configuration into a stand-in store, as operators do.
+ * Writes a configuration to a stand-in store, as operators do.
  * @param store - The store.
  * @param table - The configuration.
  */
@@ -21,12 +21,12 @@
       .map((route) => ({
         name: route.name,
         kind: route.isIdempotent ? 'idempotent' : 'non_idempotent',
-        target_latency: writeMs(route.objectiveMs),
+        target_latency: formatMs(route.objectiveMs),
         priority: route.priority,
         match: { path_prefix: route.pathPrefix },
         action: {
           traffic_split: route.services,
-          timeout: writeMs(route.timeoutMs),
+          timeout: formatMs(route.timeoutMs),
           max_attempts: route.maxTargets,
         },
       })),
@@ -39,8 +39,8 @@
   }));
   const limits = {
     max_body_bytes: table.limits.bodyBytes,
-    header_timeout: writeMs(table.limits.headerTimeoutMs),
-    idle_timeout: writeMs(table.limits.idleTimeoutMs),
+    header_timeout: formatMs(table.limits.headerTimeoutMs),
+    idle_timeout: formatMs(table.limits.idleTimeoutMs),
   };
   store.put('config', 'main', { version: `r${table.version}`, listeners, clusters, limits });
 }
@@ -48,33 +48,33 @@
 /**
  * Registers a target in a stand-in store, as targets do themselves.
  * @param store - The store.
- * @param entry - What it says of itself.
+ * @param entry - The target's entry.
  */
 export function putTarget(store: PlatformStore, entry: TargetEntry): void {
   const { id, service, address, zone, version, bornAt, slots, isDraining, coldMs } = entry;
   const info = { service, version, zone, max_concurrency: slots };
   const state = isDraining ? 'draining' : 'ready';
-  const status = { state, sequence: 1, warmup_left: writeMs(coldMs) };
+  const status = { state, sequence: 1, warmup_left: formatMs(coldMs) };
   store.put('servers', id, { address, born: bornAt, info }, status);
 }
 
-/** Takes a target out of a stand-in store. */
+/** Removes a target from a stand-in store. */
 export function removeTarget(store: PlatformStore, id: string): void {
   store.remove('servers', id);
 }
 
-/** Takes an availability zone out, or back, as operators do. */
+/** Evacuates an availability zone or ends its evacuation, as operators do. */
 export function setZoneOut(store: PlatformStore, zone: string, isOut: boolean): void {
   if (isOut) store.put('evacuations', zone, {});
   else store.remove('evacuations', zone);
 }
 
 /**
- * Orders that a service moves to another version, as operators do.
+ * Writes an order to move a service to another version, as operators do.
  * @param store - The store.
  * @param service - The service.
- * @param version - Version of the targets that have been started for it.
- * @param durationMs - Time until the limit, in milliseconds.
+ * @param version - Version of the targets that were started for the order.
+ * @param durationMs - Time until the deadline, in milliseconds.
  */
 export function putRollout(
   store: PlatformStore,
@@ -85,37 +85,37 @@
   store.put('rollouts', service, {
     service,
     target_version: version,
-    duration: writeMs(durationMs),
+    duration: formatMs(durationMs),
   });
 }
 
-/** How a rollout stands by a stand-in store; undefined if nothing was written. */
+/** State of a rollout in a stand-in store; undefined if none was written. */
 export function getRolloutState(store: PlatformStore, service: string): string | undefined {
   const status = store.getStatus('rollouts', service) as { state?: string } | null | undefined;
   return status?.state;
 }
 
-/** Headers of a caller's request. */
+/** Builds the headers of a caller's request. */
 export function writeCallerHeaders(requestId: string, allowedMs: number): Record<string, string> {
-  return { [REQUEST_ID]: requestId, [DEADLINE_MS]: String(allowedMs) };
+  return { [REQUEST_ID_HEADER]: requestId, [DEADLINE_HEADER]: String(allowedMs) };
 }
 
 /** Name of the header that proves that a target made an answer. */
-export const SIGNATURE_HEADER = SIGNATURE;
+export const SIGNATURE_HEADER = RESPONSE_SIGNATURE_HEADER;
 
 /**
- * Where a caller asks which entry VMs to use.
- * @param host - Host that it wants to reach.
- * @param zone - Availability zone that it is in.
+ * Builds the path at which a caller asks which entry VMs to use.
+ * @param host - Host that the caller wants to reach.
+ * @param zone - Availability zone of the caller.
  */
 export function writeAddressesPath(host: string, zone: string): string {
   return `${ADDRESSES_PATH}?name=${host}&region=here&zone=${zone}`;
 }
 
 /**
- * Reads the answer to that question.
- * @param text - The answer's body.
- * @returns IP numbers and ports; undefined if the answer has none, which counts as a failed one.
+ * Reads the answer to a caller that asked which entry VMs to use.
+ * @param text - Body of the answer.
+ * @returns IP addresses and ports; undefined if the answer has none, which counts as a failure.
  */
 export function readAddresses(text: string): readonly string[] | undefined {
   return (JSON.parse(text) as { addresses?: readonly string[] }).addresses;
--- a/src/rollouts/CumulativeTest.ts
+++ b/src/rollouts/CumulativeTest.ts
@@ -1,52 +1,62 @@
-import type { EvidenceStep, VersionTest } from './VersionTest.js';
+import type { EvidenceDelta, VersionTest } from './VersionTest.js';
 
-/** Old targets' share of bad answers is forgotten by half in so long, in milliseconds. */
-const FORGET_HALF_MS = 2_000;
+/** Half-life of the baseline counts of old targets, in milliseconds. */
+const HALF_LIFE_MS = 2_000;
 
-/** So many of the last ones are kept: once all requests have moved, old targets answer no more. */
-const KEPT_ANSWERS = 60;
+/**
+ * The baseline keeps at least this many answers, because old targets give no more answers once all
+ * requests have moved.
+ */
+const MIN_KEPT_ANSWERS = 60;
 
-/** Bad answers thought of before any came, and answers: old targets fail sometimes too. */
+/**
+ * Prior of the baseline: bad answers, and answers, assumed before any were counted. Old targets
+ * fail at times too.
+ */
 const PRIOR_BAD = 1;
 const PRIOR_ANSWERS = 20;
 
-const LEAST_BAD_SHARE = 0.02;
-const MOST_BAD_SHARE = 0.6;
+const MIN_BASELINE_SHARE = 0.02;
+const MAX_BASELINE_SHARE = 0.6;
 
-/** A bad version fails, or is slow with, so much of what an old one would have done well. */
+/**
+ * Share of the old version's good answers that a bad version is assumed to fail or to give too
+ * late.
+ */
 const BAD_VERSION_EXCESS = 0.3;
 
-/** Log-likelihood ratio that condemns a version. */
-const CONDEMNED_AT = 12;
+/** Log-likelihood ratio at which a version is found to be bad. */
+const DECISION_THRESHOLD = 12;
 
 /**
- * Most of the bad answers that may come from one group of targets: more speak of an ill target, which
- * any version has at times.
+ * Largest share of the bad answers that may come from one group of targets. A larger share
+ * indicates a single faulty target, which can occur with any version.
  */
-const MOST_OF_ONE_GROUP = 0.7;
+const MAX_SHARE_OF_ONE_GROUP = 0.7;
 
 /**
- * Sums up log-likelihood ratios and starts anew where they speak for the new version (CUSUM).
+ * Sums log-likelihood ratios and resets the sum whenever it favours the new version (CUSUM).
  *
- * Versions may turn bad after minutes of good answers, so that these must not outweigh what comes
- * next. Old targets are counted in the same seconds: a burst or a zone in trouble harms both alike.
+ * A version may turn bad after minutes of good answers, so good answers must not outweigh later bad
+ * ones. The baseline comes from old targets during the same period, because a burst or a failing
+ * zone affects both versions alike.
  */
 export class CumulativeTest implements VersionTest {
   /** @internal */
-  private old = { answers: 0, bad: 0, at: 0 };
+  private baseline = { answers: 0, bad: 0, at: 0 };
 
   /** @internal */
   private score = 0;
 
-  /** Bad answers since the score was last 0, by group. @internal */
+  /** Bad answers since the score was last reset, by group. @internal */
   private readonly badByGroup = new Map<string, number>();
 
-  take({ old, new: groups }: EvidenceStep, now: number): void {
-    this.noteOld(old, now);
-    const usual = this.getUsualShare();
-    const suspected = usual + BAD_VERSION_EXCESS * (1 - usual);
-    const badWeight = Math.log(suspected / usual);
-    const goodWeight = Math.log((1 - suspected) / (1 - usual));
+  add({ old, new: groups }: EvidenceDelta, now: number): void {
+    this.updateBaseline(old, now);
+    const baselineShare = this.getBaselineShare();
+    const badVersionShare = baselineShare + BAD_VERSION_EXCESS * (1 - baselineShare);
+    const badWeight = Math.log(badVersionShare / baselineShare);
+    const goodWeight = Math.log((1 - badVersionShare) / (1 - baselineShare));
     for (const [group, { answers, bad }] of groups) {
       this.score += bad * badWeight + (answers - bad) * goodWeight;
       if (bad > 0) this.badByGroup.set(group, (this.badByGroup.get(group) ?? 0) + bad);
@@ -57,35 +67,35 @@
   }
 
   get isBad(): boolean {
-    return this.score >= CONDEMNED_AT && this.isSpread;
+    return this.score >= DECISION_THRESHOLD && this.isAcrossGroups;
   }
 
   get suspicion(): number {
-    return Math.min(1, this.score / CONDEMNED_AT);
+    return Math.min(1, this.score / DECISION_THRESHOLD);
   }
 
   /** @internal */
-  private get isSpread(): boolean {
+  private get isAcrossGroups(): boolean {
     const counts = [...this.badByGroup.values()];
     const total = counts.reduce((sum, each) => sum + each, 0);
-    return Math.max(...counts) <= MOST_OF_ONE_GROUP * total;
+    return Math.max(...counts) <= MAX_SHARE_OF_ONE_GROUP * total;
   }
 
   /** @internal */
-  private noteOld({ answers, bad }: EvidenceStep['old'], now: number): void {
-    const forgotten = 0.5 ** (Math.max(0, now - this.old.at) / FORGET_HALF_MS);
-    const least = Math.min(1, KEPT_ANSWERS / Math.max(1, this.old.answers));
-    const kept = Math.max(forgotten, least);
-    this.old = {
-      answers: this.old.answers * kept + answers,
-      bad: this.old.bad * kept + bad,
+  private updateBaseline({ answers, bad }: EvidenceDelta['old'], now: number): void {
+    const decay = 0.5 ** (Math.max(0, now - this.baseline.at) / HALF_LIFE_MS);
+    const minDecay = Math.min(1, MIN_KEPT_ANSWERS / Math.max(1, this.baseline.answers));
+    const factor = Math.max(decay, minDecay);
+    this.baseline = {
+      answers: this.baseline.answers * factor + answers,
+      bad: this.baseline.bad * factor + bad,
       at: now,
     };
   }
 
   /** @internal */
-  private getUsualShare(): number {
-    const share = (this.old.bad + PRIOR_BAD) / (this.old.answers + PRIOR_ANSWERS);
-    return Math.min(MOST_BAD_SHARE, Math.max(LEAST_BAD_SHARE, share));
+  private getBaselineShare(): number {
+    const share = (this.baseline.bad + PRIOR_BAD) / (this.baseline.answers + PRIOR_ANSWERS);
+    return Math.min(MAX_BASELINE_SHARE, Math.max(MIN_BASELINE_SHARE, share));
   }
 }
--- a/src/rollouts/VersionJudge.ts
+++ b/src/rollouts/VersionJudge.ts
@@ -1,33 +1,36 @@
 import { CumulativeTest } from './CumulativeTest.js';
 import type { AnswerCounts } from './model.js';
-import type { TallySteps } from './RolloutTally.js';
-import type { EvidenceStep, VersionTest } from './VersionTest.js';
+import type { DeltasByRoute } from './ReportAggregator.js';
+import type { EvidenceDelta, VersionTest } from './VersionTest.js';
 
-/** Answers of new targets without which a version is not taken for good. */
-const LEAST_ANSWERS = 20;
+/** Minimum number of answers of new targets before a version is found good. */
+const MIN_NEW_ANSWERS = 20;
 
-/** The same for each route that has a share of the old targets' answers of at least this. */
-const LEAST_ROUTE_ANSWERS = 6;
-const COUNTED_ROUTE_SHARE = 0.05;
+/**
+ * Minimum number of answers on each route that receives at least `MIN_ROUTE_SHARE` of the old
+ * targets' answers.
+ */
+const MIN_ROUTE_ANSWERS = 6;
+const MIN_ROUTE_SHARE = 0.05;
 
-/** With more suspicion than this a version is not taken for good. */
-export const MOST_SUSPICION = 0.5;
+/** Highest suspicion at which a version can be found good. */
+export const MAX_GOOD_SUSPICION = 0.5;
 
-/** What the answers so far say of a version. */
+/** Assessment of a version by its answers so far. */
 export type Verdict = 'bad' | 'good' | 'unsure';
 
-interface JudgedRoute {
+interface RouteEvaluation {
   readonly test: VersionTest;
   old: number;
   new: number;
 }
 
-function mergeSteps(steps: Iterable<EvidenceStep>): EvidenceStep {
+function mergeDeltas(deltas: Iterable<EvidenceDelta>): EvidenceDelta {
   const merged = { old: { answers: 0, bad: 0 }, new: new Map<string, AnswerCounts>() };
-  for (const step of steps) {
-    merged.old.answers += step.old.answers;
-    merged.old.bad += step.old.bad;
-    for (const [group, { answers, bad }] of step.new) {
+  for (const delta of deltas) {
+    merged.old.answers += delta.old.answers;
+    merged.old.bad += delta.old.bad;
+    for (const [group, { answers, bad }] of delta.new) {
       const known = merged.new.get(group) ?? { answers: 0, bad: 0 };
       merged.new.set(group, { answers: known.answers + answers, bad: known.bad + bad });
     }
@@ -35,77 +38,80 @@
   return merged;
 }
 
-function countNew({ new: groups }: EvidenceStep): number {
+function countNewAnswers({ new: groups }: EvidenceDelta): number {
   return [...groups.values()].reduce((sum, { answers }) => sum + answers, 0);
 }
 
-/** Judges a version by its answers on each route and on all of them together. */
+/** Evaluates a version by its answers on each route and on all routes together. */
 export class VersionJudge {
   /** @internal */
-  private readonly routes = new Map<string, JudgedRoute>();
+  private readonly routes = new Map<string, RouteEvaluation>();
 
   /** @internal */
-  private readonly all: JudgedRoute;
+  private readonly overall: RouteEvaluation;
 
-  /** @param createTest - Makes the test of one route. */
+  /** @param createTest - Creates the test for one route. */
   constructor(private readonly createTest: () => VersionTest = () => new CumulativeTest()) {
-    this.all = this.createRoute();
+    this.overall = this.createRoute();
   }
 
   /**
-   * Takes what came since the last look.
-   * @param steps - Answers by route.
+   * Adds the answers since the last call.
+   * @param deltas - Answers by route.
    * @param now - Monotonic milliseconds.
    */
-  take(steps: TallySteps, now: number): void {
-    for (const [route, step] of steps) {
-      const judged = this.routes.get(route) ?? this.createRoute();
-      this.routes.set(route, judged);
-      VersionJudge.feed(judged, step, now);
+  add(deltas: DeltasByRoute, now: number): void {
+    for (const [route, delta] of deltas) {
+      const evaluation = this.routes.get(route) ?? this.createRoute();
+      this.routes.set(route, evaluation);
+      VersionJudge.addDelta(evaluation, delta, now);
     }
-    VersionJudge.feed(this.all, mergeSteps(steps.values()), now);
+    VersionJudge.addDelta(this.overall, mergeDeltas(deltas.values()), now);
   }
 
-  /** What is to be thought of the version now. */
+  /** Current assessment of the version. */
   get verdict(): Verdict {
-    const judged = [this.all, ...this.routes.values()];
-    if (judged.some(({ test }) => test.isBad)) return 'bad';
-    if (this.all.new < LEAST_ANSWERS || this.suspicion > MOST_SUSPICION) return 'unsure';
-    const isTried = [...this.routes.values()].every(
-      (route) => route.old < COUNTED_ROUTE_SHARE * this.all.old || route.new >= LEAST_ROUTE_ANSWERS,
+    const evaluations = [this.overall, ...this.routes.values()];
+    if (evaluations.some(({ test }) => test.isBad)) return 'bad';
+    if (this.overall.new < MIN_NEW_ANSWERS || this.suspicion > MAX_GOOD_SUSPICION) return 'unsure';
+    const hasEnoughPerRoute = [...this.routes.values()].every(
+      (route) => route.old < MIN_ROUTE_SHARE * this.overall.old || route.new >= MIN_ROUTE_ANSWERS,
     );
-    return isTried ? 'good' : 'unsure';
+    return hasEnoughPerRoute ? 'good' : 'unsure';
   }
 
-  /** How much speaks against the version, on the route where that is most; 1 condemns it. */
+  /**
+   * Strength of the evidence against the version, on the route where it is strongest or on all
+   * routes together; 1 reaches the decision threshold.
+   */
   get suspicion(): number {
-    return Math.max(...[this.all, ...this.routes.values()].map(({ test }) => test.suspicion));
+    return Math.max(...[this.overall, ...this.routes.values()].map(({ test }) => test.suspicion));
   }
 
-  /** Route that speaks most against the version; undefined if no single one does. */
+  /** Route with the strongest evidence against the version; undefined if no single route has it. */
   get suspectRoute(): string | undefined {
-    const most = this.suspicion;
-    if (most === 0) return undefined;
-    return [...this.routes].find(([, { test }]) => test.suspicion === most)?.[0];
+    const highest = this.suspicion;
+    if (highest === 0) return undefined;
+    return [...this.routes].find(([, { test }]) => test.suspicion === highest)?.[0];
   }
 
-  /** Part of all answers that came on each route, without routes that hardly any came on. */
-  get routeParts(): ReadonlyMap<string, number> {
-    const all = this.all.old + this.all.new;
-    const parts = [...this.routes].map(([name, route]) => [name, (route.old + route.new) / all]);
-    const counted = (parts as [string, number][]).filter(([, part]) => part >= COUNTED_ROUTE_SHARE);
+  /** Share of all answers that each route received, without rarely used routes. */
+  get trafficShares(): ReadonlyMap<string, number> {
+    const total = this.overall.old + this.overall.new;
+    const shares = [...this.routes].map(([name, route]) => [name, (route.old + route.new) / total]);
+    const counted = (shares as [string, number][]).filter(([, share]) => share >= MIN_ROUTE_SHARE);
     return new Map(counted);
   }
 
   /** @internal */
-  private createRoute(): JudgedRoute {
+  private createRoute(): RouteEvaluation {
     return { test: this.createTest(), old: 0, new: 0 };
   }
 
   /** @internal */
-  private static feed(judged: JudgedRoute, step: EvidenceStep, now: number): void {
-    judged.test.take(step, now);
-    judged.old += step.old.answers;
-    judged.new += countNew(step);
+  private static addDelta(evaluation: RouteEvaluation, delta: EvidenceDelta, now: number): void {
+    evaluation.test.add(delta, now);
+    evaluation.old += delta.old.answers;
+    evaluation.new += countNewAnswers(delta);
   }
 }
--- a/src/rollouts/VersionTest.ts
+++ b/src/rollouts/VersionTest.ts
@@ -1,21 +1,25 @@
-/** Answers that came since the last look, of one route or of all. */
-export interface EvidenceStep {
+/** Answers since the last call, of one route or of all routes. */
+export interface EvidenceDelta {
   /** Answers of old targets. */
   readonly old: { readonly answers: number; readonly bad: number };
   /** Answers of new targets, by group. */
   readonly new: ReadonlyMap<string, { readonly answers: number; readonly bad: number }>;
 }
 
-/** Decides from answers of old and new targets in the same seconds whether a version is bad. */
+/**
+ * Tests whether a version is bad by comparing answers of old and new targets over the same period.
+ */
 export interface VersionTest {
   /**
-   * Takes what came since the last look.
-   * @param step - The answers.
+   * Adds the answers since the last call.
+   * @param delta - The answers.
    * @param now - Monotonic milliseconds.
    */
-  take(step: EvidenceStep, now: number): void;
-  /** Whether the new version is worse than the old one beyond doubt. */
+  add(delta: EvidenceDelta, now: number): void;
+  /** Whether the evidence shows that the new version is worse than the old one. */
   readonly isBad: boolean;
-  /** How much speaks against the new version: 0 is nothing, 1 condemns it. */
+  /**
+   * Strength of the evidence against the new version, from 0 (none) to 1 (the decision threshold).
+   */
   readonly suspicion: number;
 }
--- a/src/rollouts/WindowTest.ts
+++ b/src/rollouts/WindowTest.ts
@@ -1,25 +1,31 @@
-import type { EvidenceStep, VersionTest } from './VersionTest.js';
+import type { EvidenceDelta, VersionTest } from './VersionTest.js';
 
-/** Answers of so long are compared, in milliseconds. */
+/** Length of the sliding window, in milliseconds. */
 const WINDOW_MS = 3_000;
 
-/** Fewer answers of the new version than this say nothing. */
-const LEAST_ANSWERS = 8;
+/** Minimum number of answers of the new version for a comparison. */
+const MIN_NEW_ANSWERS = 8;
 
-/** Standard deviations between the two shares of bad answers that condemn a version. */
-const CONDEMNED_AT = 4;
+/**
+ * Difference between the two shares of bad answers at which a version is found to be bad, in
+ * standard deviations.
+ */
+const DECISION_THRESHOLD = 4;
 
-/** One ill target makes no bad version; see `CumulativeTest`. */
-const MOST_OF_ONE_GROUP = 0.7;
+/** A single faulty target does not make a version bad; see `CumulativeTest`. */
+const MAX_SHARE_OF_ONE_GROUP = 0.7;
 
-/** Compares the shares of bad answers in a sliding window (two proportions, pooled variance). */
+/**
+ * Compares the shares of bad answers within a sliding window (two-proportion z-test, pooled
+ * variance).
+ */
 export class WindowTest implements VersionTest {
   /** @internal */
-  private steps: { readonly at: number; readonly step: EvidenceStep }[] = [];
+  private deltas: { readonly at: number; readonly delta: EvidenceDelta }[] = [];
 
-  take(step: EvidenceStep, now: number): void {
-    this.steps.push({ at: now, step });
-    this.steps = this.steps.filter(({ at }) => now - at < WINDOW_MS);
+  add(delta: EvidenceDelta, now: number): void {
+    this.deltas.push({ at: now, delta });
+    this.deltas = this.deltas.filter(({ at }) => now - at < WINDOW_MS);
   }
 
   get isBad(): boolean {
@@ -28,23 +34,23 @@
 
   get suspicion(): number {
     const old = { answers: 1, bad: 0 };
-    const groups = new Map<string, number>();
+    const badByGroup = new Map<string, number>();
     let answers = 0;
     let bad = 0;
-    for (const { step } of this.steps) {
-      old.answers += step.old.answers;
-      old.bad += step.old.bad;
-      for (const [group, counts] of step.new) {
+    for (const { delta } of this.deltas) {
+      old.answers += delta.old.answers;
+      old.bad += delta.old.bad;
+      for (const [group, counts] of delta.new) {
         answers += counts.answers;
         bad += counts.bad;
-        groups.set(group, (groups.get(group) ?? 0) + counts.bad);
+        badByGroup.set(group, (badByGroup.get(group) ?? 0) + counts.bad);
       }
     }
-    if (answers < LEAST_ANSWERS || bad === 0) return 0;
-    if (Math.max(...groups.values()) > MOST_OF_ONE_GROUP * bad) return 0;
+    if (answers < MIN_NEW_ANSWERS || bad === 0) return 0;
+    if (Math.max(...badByGroup.values()) > MAX_SHARE_OF_ONE_GROUP * bad) return 0;
     const pooled = (old.bad + bad + 1) / (old.answers + answers + 2);
-    const spread = Math.sqrt(pooled * (1 - pooled) * (1 / old.answers + 1 / answers));
-    const distance = (bad / answers - old.bad / old.answers) / spread;
-    return Math.min(1, Math.max(0, distance / CONDEMNED_AT));
+    const standardError = Math.sqrt(pooled * (1 - pooled) * (1 / old.answers + 1 / answers));
+    const zScore = (bad / answers - old.bad / old.answers) / standardError;
+    return Math.min(1, Math.max(0, zScore / DECISION_THRESHOLD));
   }
 }
--- a/src/rollouts/evidence.ts
+++ b/src/rollouts/evidence.ts
@@ -1,17 +1,19 @@
 import type { AnswerCounts, EvidenceCounts } from './model.js';
 
 /**
- * New targets are told apart by so many groups, which bounds what a VM reports; those of a trial, the
- * first few, each have one of their own.
+ * Number of groups that new targets are divided into, which bounds the size of a VM's report. The
+ * few targets of a trial each have a group of their own.
  */
-const TARGET_GROUPS = 6;
+const TARGET_GROUP_COUNT = 6;
 
-/** Routes that a VM reports apart; answers of further ones are counted together. */
-const MOST_ROUTES = 5;
+/**
+ * Number of routes that a VM reports separately; answers of further routes are counted together.
+ */
+const MAX_ROUTES = 5;
 
 const OTHER_ROUTES = '*';
 
-/** Which answers a count is of. */
+/** The route and the group of targets that a count belongs to. */
 export interface EvidenceKey {
   readonly route: string;
   /** Group of the new target; undefined for old targets. */
@@ -19,7 +21,7 @@
 }
 
 /**
- * Takes a count's key apart.
+ * Parses the key of a count.
  * @param key - Key of `EvidenceCounts`.
  */
 export function parseEvidenceKey(key: string): EvidenceKey {
@@ -28,7 +30,7 @@
   return { route: key.slice(end + 1), group: group === 'old' ? undefined : group };
 }
 
-/** Counts the answers that this process got while one order runs. */
+/** Counts the answers that this process receives during one rollout order. */
 export class VersionEvidence {
   /** @internal */
   private readonly counts = new Map<string, { answers: number; bad: number }>();
@@ -39,13 +41,14 @@
   /**
    * Counts one answer.
    * @param route - Route of the request.
-   * @param newTarget - Place of the target among the new ones; undefined if it is an old one.
-   * @param isBad - Whether it failed, or takes far longer than expected of any target.
+   * @param newTargetIndex - Index of the target among the new ones; undefined for an old target.
+   * @param isBad - Whether the answer failed or takes far longer than expected of any target.
    */
-  note(route: string, newTarget: number | undefined, isBad: boolean): void {
-    if (this.routes.size < MOST_ROUTES) this.routes.add(route);
+  recordAnswer(route: string, newTargetIndex: number | undefined, isBad: boolean): void {
+    if (this.routes.size < MAX_ROUTES) this.routes.add(route);
     const name = this.routes.has(route) ? route : OTHER_ROUTES;
-    const group = newTarget === undefined ? 'old' : `new${newTarget % TARGET_GROUPS}`;
+    const group =
+      newTargetIndex === undefined ? 'old' : `new${newTargetIndex % TARGET_GROUP_COUNT}`;
     const key = `${group} ${name}`;
     const known = this.counts.get(key) ?? { answers: 0, bad: 0 };
     known.answers += 1;
@@ -53,19 +56,19 @@
     this.counts.set(key, known);
   }
 
-  /** Totals so far; later answers don't change what was given. */
+  /** Totals so far, as a copy that later answers do not change. */
   get totals(): EvidenceCounts {
     return Object.fromEntries([...this.counts].map(([key, count]) => [key, { ...count }]));
   }
 
-  /** Totals of old and of new targets. */
-  get sums(): Readonly<Record<'old' | 'new', AnswerCounts>> {
-    const sums = { old: { answers: 0, bad: 0 }, new: { answers: 0, bad: 0 } };
+  /** Totals of old and of new targets, over all routes. */
+  get versionTotals(): Readonly<Record<'old' | 'new', AnswerCounts>> {
+    const versionTotals = { old: { answers: 0, bad: 0 }, new: { answers: 0, bad: 0 } };
     for (const [key, { answers, bad }] of this.counts) {
-      const sum = sums[parseEvidenceKey(key).group === undefined ? 'old' : 'new'];
-      sum.answers += answers;
-      sum.bad += bad;
+      const total = versionTotals[parseEvidenceKey(key).group === undefined ? 'old' : 'new'];
+      total.answers += answers;
+      total.bad += bad;
     }
-    return sums;
+    return versionTotals;
   }
 }
--- a/src/rollouts/model.ts
+++ b/src/rollouts/model.ts
@@ -1,72 +1,74 @@
 import type { ServiceName } from '../core/model/index.js';
 
-/** How a rollout stands by the store; the last two are final. */
+/** State of a rollout in the store; the last two are final. */
 export type RolloutState = 'running' | 'completed' | 'rolledBack';
 
 /** An operator's order to move a service's requests to targets of another version. */
 export interface RolloutOrder {
-  /** Tells an order apart from earlier ones of the same service. */
+  /** Distinguishes the order from earlier ones for the same service. */
   readonly id: string;
   /** Name of the stored order. */
   readonly name: string;
   readonly service: ServiceName;
   /** Version to move to. */
   readonly version: string;
-  /** Time from the order to its limit, in milliseconds. */
+  /** Time from the order to its deadline, in milliseconds. */
   readonly durationMs: number;
-  /** Revision of the stored order, under which its state may be written. */
+  /** Revision of the stored order; the store accepts a state only under the current revision. */
   readonly revision: number;
-  /** Undefined while no state was written for this order. */
+  /** Undefined until a state has been written for this order. */
   readonly state: RolloutState | undefined;
 }
 
 /**
- * How far a rollout has come.
+ * Progress of a rollout.
  *
  * - `trial`: a small share of requests goes to a few targets of the new version.
- * - `moving`: a larger share does, to a part of the new targets that is as large.
- * - `moved`: all requests do; those that are still at old targets end there.
- * - `stopped`: none does, for good.
+ * - `moving`: a larger share of requests goes to an equally large part of the new targets.
+ * - `moved`: all requests go to new targets; requests still at old targets finish there.
+ * - `stopped`: no more requests go to new targets; this is final.
  */
 export type RolloutPhase = 'trial' | 'moving' | 'moved' | 'stopped';
 
-/** Phases in the order in which a good version goes through them. */
+/** Phases in the order of progress; `stopped` takes precedence over all others. */
 export const ROLLOUT_PHASES: readonly RolloutPhase[] = ['trial', 'moving', 'moved', 'stopped'];
 
-/** What a coordinator tells entry VMs to do about an order. */
+/** A coordinator's instruction to entry VMs for one rollout order. */
 export interface RolloutGuidance {
   readonly phase: RolloutPhase;
-  /** Share of requests that go to the new version, 0 to 1. */
+  /** Share of requests that go to the new version, from 0 to 1. */
   readonly share: number;
-  /** The same for routes that differ from it, by their names. */
+  /** Shares of the routes that differ from `share`, by route name. */
   readonly routeShares?: Readonly<Record<string, number>>;
 }
 
-/** Answers of one kind, and how many of them were failures or took too long. */
+/** Number of answers, and how many of them failed or took too long. */
 export interface AnswerCounts {
   readonly answers: number;
   readonly bad: number;
 }
 
 /**
- * Answers that an entry VM got while an order runs, by route and by a group of targets:
- * `old`, or `new` followed by a number drawn from the target's id.
+ * Answers that an entry VM received during a rollout order, by group of targets and route. A key is
+ * the group (`old`, or `new` followed by a number), a space and the route.
  */
 export type EvidenceCounts = Readonly<Record<string, AnswerCounts>>;
 
-/** What an entry VM tells coordinators about an order. */
+/** An entry VM's report to the coordinators of an order. */
 export interface RolloutReport {
   readonly order: string;
   readonly vm: string;
-  /** Names this run of the VM's process: its counts start anew with each. */
+  /** Identifies this run of the VM's process; its counts start from zero. */
   readonly run: string;
-  /** Grows with each report of a run; datagrams may arrive in another order. */
+  /** Increases with each report of a run, because datagrams may arrive out of order. */
   readonly sequence: number;
-  /** Time since the order was first seen by any VM that this one heard of, in milliseconds. */
+  /**
+   * Time since the order was first seen, by any VM that this one has heard from, in milliseconds.
+   */
   readonly ageMs: number;
-  /** Phase that the VM goes by now. */
+  /** Phase that the VM currently applies. */
   readonly phase: RolloutPhase;
-  /** Requests that the VM has at old targets. */
+  /** Requests that the VM still has at old targets. */
   readonly oldRequests: number;
   /** Totals of this run. */
   readonly counts: EvidenceCounts;
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -1,5 +1,5 @@
 import { putTarget, setZoneOut } from '../platform/standIn/index.js';
-import type { TargetMood } from '../platform/standIn/index.js';
+import type { TargetBehaviour } from '../platform/standIn/index.js';
 import type { LinkMood } from './FaultProxy.js';
 import type { SoakCallers } from './SoakCallers.js';
 import type { SoakGateway } from './SoakGateway.js';
@@ -68,12 +68,12 @@
   };
 }
 
-function changeTarget(mood: TargetMood): Fault {
+function changeTarget(mood: TargetBehaviour): Fault {
   return async ({ world, random }) => {
     const { model } = pick(world.targets, random);
-    model.mood = mood;
+    model.behaviour = mood;
     await wait(500 + random() * 2_000);
-    model.mood = 'sound';
+    model.behaviour = 'sound';
   };
 }
 
@@ -103,7 +103,7 @@
   targetLinkDelayed: disturbTargetLink('delayed'),
 
   async storeForgets({ world }) {
-    world.store.forgetHistory();
+    world.store.clearHistory();
   },
 
   async gatewayKilled({ world, random }) {
--- a/src/soak/rolloutFault.ts
+++ b/src/soak/rolloutFault.ts
@@ -1,11 +1,11 @@
-import type { TargetMood } from '../platform/standIn/index.js';
+import type { TargetBehaviour } from '../platform/standIn/index.js';
 import { getRolloutState, putRollout } from '../platform/standIn/index.js';
 import type { Fault, FaultContext } from './faults.js';
 import type { SoakTarget } from './SoakWorld.js';
 import { SERVICE, ZONES } from './SoakWorld.js';
 
 /** How a version that is rolled out turns out to be. */
-const MOODS: readonly TargetMood[] = ['sound', 'fails', 'slow'];
+const MOODS: readonly TargetBehaviour[] = ['sound', 'fails', 'slow'];
 
 const DURATION_MS = 6_000;
 const LOOK_MS = 50;
@@ -22,11 +22,11 @@
   });
 }
 
-async function startTargets({ world }: FaultContext, version: string, mood: TargetMood) {
+async function startTargets({ world }: FaultContext, version: string, mood: TargetBehaviour) {
   const targets: SoakTarget[] = [];
   for (const zone of [...ZONES, ...ZONES]) {
     const target = await world.addTarget(zone, version);
-    target.model.mood = mood;
+    target.model.behaviour = mood;
     targets.push(target);
   }
   return targets;
--- a/src/soak/rolloutMain.ts
+++ b/src/soak/rolloutMain.ts
@@ -1,7 +1,7 @@
-import type { TargetMood } from '../platform/standIn/index.js';
+import type { TargetBehaviour } from '../platform/standIn/index.js';
 import { runRolloutTrial } from './runRolloutTrial.js';
 
-const VERSIONS: Readonly<Record<string, TargetMood>> = {
+const VERSIONS: Readonly<Record<string, TargetBehaviour>> = {
   good: 'sound',
   fails: 'fails',
   slow: 'slow',
--- a/src/soak/runRolloutTrial.ts
+++ b/src/soak/runRolloutTrial.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-import type { TargetMood } from '../platform/standIn/index.js';
+import type { TargetBehaviour } from '../platform/standIn/index.js';
 import { getRolloutState, putRollout } from '../platform/standIn/index.js';
 import { createRandom } from '../standIns/models/index.js';
 import { SoakCallers } from './SoakCallers.js';
@@ -28,7 +28,7 @@
 export interface RolloutTrialOptions {
   readonly gateways: number;
   /** How targets of the new version behave. */
-  readonly mood: TargetMood;
+  readonly mood: TargetBehaviour;
   /** When they begin to behave so, in milliseconds after the order. */
   readonly moodAfterMs: number;
   /** Time that the order allows, in milliseconds. */
@@ -128,7 +128,7 @@
     for (let i = 0; i < NEW_TARGETS; i++) {
       const { model } = await world.addTarget(ZONES[i % ZONES.length], NEW_VERSION);
       setTimeout(() => {
-        model.mood = options.mood;
+        model.behaviour = options.mood;
       }, options.moodAfterMs);
     }
     planFaults(world, options);
--- a/src/tests/balancing/limits.test.ts
+++ b/src/tests/balancing/limits.test.ts
@@ -2,7 +2,7 @@
 
 import type { NamedLimit } from '../../balancing/index.js';
 import type { PermitAsk } from '../../limits/index.js';
-import { getOwners, ISSUERS_AT_MOST } from '../../limits/index.js';
+import { getOwners, MAX_ACTIVE_ISSUERS } from '../../limits/index.js';
 import { makeReading, makeTarget, ROUTE, Scene } from './scene.js';
 
 const NAMED: readonly NamedLimit[] = [6, 6, 1.3, 'unreadable', undefined];
@@ -47,7 +47,7 @@
 function makeLimited(targets = ['t-1']): Scene {
   const entries = targets.map((id) => makeTarget(id));
   const vm = VMS.find((name) =>
-    targets.every((id) => !getOwners(`${id}|1`, VMS, ISSUERS_AT_MOST).includes(name)),
+    targets.every((id) => !getOwners(`${id}|1`, VMS, MAX_ACTIVE_ISSUERS).includes(name)),
   );
   const scene = new Scene(entries, [ROUTE], vm);
   scene.dispatch({ kind: 'vmsChanged', vms: VMS });
@@ -125,7 +125,7 @@
 
 // Each issuer more lets a third of the limit through on top.
 test('VMs that differ on who is up ask the same issuers', (t) => {
-  const issuers = getOwners('t-1|1', VMS, ISSUERS_AT_MOST);
+  const issuers = getOwners('t-1|1', VMS, MAX_ACTIVE_ISSUERS);
   const asked = [0, 1, 2].flatMap((first) => {
     const down = issuers.slice(first, first + 2);
     const scene = makeLimited();
--- a/src/tests/platform/decode.test.ts
+++ b/src/tests/platform/decode.test.ts
@@ -68,39 +68,40 @@
   ],
 };
 
-test('a configuration is decoded into what its fields mean', (t) => {
+test('a configuration is decoded into a routing table', (t) => {
   t.snapshot(decodeRoutingTable(CONFIG));
 });
 
-test('a target’s entry is decoded into what its fields mean', (t) => {
+test('a target’s object is decoded into an entry', (t) => {
   t.snapshot(decodeTarget('i-7f3a91c2', ENTRY));
 });
 
-const FORGED: Readonly<Record<string, unknown>> = {
-  'nothing at all': undefined,
-  'a text': 'servers',
+const INVALID_ENTRIES: Readonly<Record<string, unknown>> = {
+  'no content': undefined,
+  'a string as content': 'servers',
   'no address': { ...ENTRY, address: undefined },
-  'an address that is none': { ...ENTRY, address: 'localhost' },
+  'an invalid address': { ...ENTRY, address: 'localhost' },
   'a number for a service': { ...ENTRY, info: { ...ENTRY.info, service: 7 } },
   'no zone': { ...ENTRY, info: { ...ENTRY.info, zone: undefined } },
   'no version': { ...ENTRY, info: { ...ENTRY.info, version: undefined } },
-  'slots as text': { ...ENTRY, info: { ...ENTRY.info, max_concurrency: '2' } },
+  'slots as a string': { ...ENTRY, info: { ...ENTRY.info, max_concurrency: '2' } },
   'no slots': { ...ENTRY, info: { ...ENTRY.info, max_concurrency: 0 } },
-  'a state that is not named': { ...ENTRY, status: { ...ENTRY.status, state: 'warm' } },
-  'a sequence that is no number': { ...ENTRY, status: { ...ENTRY.status, sequence: 'x' } },
-  'a warm-up without unit': { ...ENTRY, status: { ...ENTRY.status, warmup_left: '5' } },
-  'a start that is no whole number': { ...ENTRY, born: 1.5 },
-  'a start as text': { ...ENTRY, born: '1779580388019' },
+  'an unknown state': { ...ENTRY, status: { ...ENTRY.status, state: 'warm' } },
+  'a sequence that is not a number': { ...ENTRY, status: { ...ENTRY.status, sequence: 'x' } },
+  'a warm-up without a unit': { ...ENTRY, status: { ...ENTRY.status, warmup_left: '5' } },
+  'a start time that is not an integer': { ...ENTRY, born: 1.5 },
+  'a start time as a string': { ...ENTRY, born: '1779580388019' },
 };
 
-for (const [what, entry] of Object.entries(FORGED)) {
-  test(`an entry with ${what} names no target`, (t) => {
-    // Another writer put something among the targets. Requests sent there would be lost.
+for (const [what, entry] of Object.entries(INVALID_ENTRIES)) {
+  test(`an entry with ${what} is rejected`, (t) => {
+    // Another writer may put objects among the targets. Requests sent to such an address would be
+    // lost.
     t.throws(() => decodeTarget('i-1', entry), { name: 'DecodeError' });
   });
 }
 
-test('a load report is read with its slowdown, or not at all', (t) => {
+test('a load report is parsed with its slowdown, and an invalid one is ignored', (t) => {
   t.deepEqual(readLoad('3,1,8,400', true, 5), {
     at: 5,
     running: 3,
@@ -115,7 +116,7 @@
   }
 });
 
-test('the head of a target’s answer is read into what it says', (t) => {
+test('the headers of a target’s answer are parsed', (t) => {
   t.snapshot(
     readTargetHead(
       {
@@ -130,7 +131,7 @@
   );
 });
 
-test('a caller can’t name the target or the time that a target has', (t) => {
+test('a caller cannot set the target or the deadline of a request to a target', (t) => {
   const headers = [
     'Host',
     'a',
@@ -149,7 +150,7 @@
   ]);
 });
 
-test('a rollout is decoded; its state counts only if it is about the version ordered', (t) => {
+test('a rollout is decoded; its state counts only if it is for the ordered version', (t) => {
   const spec = { service: 'huvo11a', target_version: 'v2', duration: '12s' };
   const metadata = { name: 'huvo11a', revision: 12, create_revision: 9 };
   t.snapshot(decodeRollout(metadata, spec, null));
--- a/src/tests/rollouts/RolloutCoordinator.test.ts
+++ b/src/tests/rollouts/RolloutCoordinator.test.ts
@@ -43,7 +43,7 @@
     const counts: EvidenceCounts = structuredClone(this.vm.counts);
     const { phase, oldRequests } = this.vm;
     const report = { order: ORDER.id, vm: 'vm-1', run: 'a', sequence: this.sequence };
-    this.coordinator.take(
+    this.coordinator.addReport(
       { ...report, ageMs: this.now, phase, oldRequests, counts, ...changes },
       this.now,
     );
@@ -53,106 +53,111 @@
     if (this.phases.at(-1) !== guidance.phase) this.phases.push(guidance.phase);
   }
 
-  answer(group: string, answers: number, bad: number, route = 'lookup'): void {
+  addAnswers(group: string, answers: number, bad: number, route = 'lookup'): void {
     const key = `${group} ${route}`;
     const known = this.vm.counts[key] ?? { answers: 0, bad: 0 };
     this.vm.counts[key] = { answers: known.answers + answers, bad: known.bad + bad };
   }
 
-  /** Lets time pass; in each step old and new targets answer so many, so many of them badly. */
-  pass(ms: number, fresh: { answers: number; bad: number } = { answers: 2, bad: 0 }): void {
+  /**
+   * Advances the time in steps; in each step, old targets answer 20 requests, one of them badly,
+   * and one new target answers as given.
+   */
+  advance(ms: number, newCounts: { answers: number; bad: number } = { answers: 2, bad: 0 }): void {
     const endsAt = this.now + ms;
     while (this.now < endsAt) {
       this.now += STEP_MS;
       this.steps += 1;
-      this.answer('old', 20, 1);
-      this.answer(`new${this.steps % 3}`, fresh.answers, fresh.bad);
+      this.addAnswers('old', 20, 1);
+      this.addAnswers(`new${this.steps % 3}`, newCounts.answers, newCounts.bad);
       this.report();
     }
   }
 }
 
-test('a good version is tried, moved to in steps and completed within its time', (t) => {
+test('a good version goes through the trial and the steps of the move, and completes in time', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(DURATION_MS - 1_000);
+  scene.advance(DURATION_MS - 1_000);
   t.deepEqual(scene.phases, ['trial', 'moving', 'moved']);
   t.is(scene.coordinator.getDueState(scene.now), 'completed');
 });
 
-test('a version is not moved to before its trial has had its time', (t) => {
-  // A version that turns bad late has done little harm as long as it is on trial.
+test('the move does not begin before the trial has lasted its minimum time', (t) => {
+  // A version that turns bad late does little harm while it is on trial.
   const scene = new CoordinatorScene();
-  scene.pass(0.5 * DURATION_MS);
+  scene.advance(0.5 * DURATION_MS);
   t.deepEqual(scene.phases, ['trial']);
 });
 
-test('a version that fails is stopped long before fifty bad answers, and for good', (t) => {
+test('a failing version is stopped well before fifty bad answers and stays stopped', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   let bad = 0;
   while (scene.vm.phase !== 'stopped' && bad < 50) {
-    scene.pass(STEP_MS, { answers: 2, bad: 1 });
+    scene.advance(STEP_MS, { answers: 2, bad: 1 });
     bad += 1;
   }
   t.true(bad < 20, `${bad} bad answers`);
   t.is(scene.coordinator.getDueState(scene.now), 'rolledBack');
-  scene.pass(DURATION_MS);
+  scene.advance(DURATION_MS);
   t.is(scene.vm.phase, 'stopped');
 });
 
-test('a version that turns bad after hundreds of good answers is stopped as soon', (t) => {
-  // Summed up over all of the trial the good answers would outweigh the bad ones for seconds.
+test('a version that turns bad after hundreds of good answers is stopped just as quickly', (t) => {
+  // If the evidence were summed over the whole trial, the good answers would outweigh the bad ones
+  // for seconds.
   const scene = new CoordinatorScene();
-  scene.pass(6_000, { answers: 5, bad: 0 });
-  scene.pass(1_500, { answers: 2, bad: 1 });
+  scene.advance(6_000, { answers: 5, bad: 0 });
+  scene.advance(1_500, { answers: 2, bad: 1 });
   t.is(scene.vm.phase, 'stopped');
 });
 
-test('what harms both versions alike condemns none', (t) => {
-  // In a burst, or with a zone in trouble, old targets answer as badly in the same seconds.
+test('a fault that affects both versions alike does not stop the new one', (t) => {
+  // During a burst or a failing zone, old targets give as many bad answers over the same period.
   const scene = new CoordinatorScene();
   for (let i = 0; i < 50; i++) {
-    scene.answer('old', 20, 11);
-    scene.pass(STEP_MS, { answers: 10, bad: 3 });
+    scene.addAnswers('old', 20, 11);
+    scene.advance(STEP_MS, { answers: 10, bad: 3 });
   }
   t.not(scene.vm.phase, 'stopped');
 });
 
-test('one ill target does not condemn its version', (t) => {
+test('a single faulty target does not stop its version', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   for (let i = 0; i < 30; i++) {
-    scene.answer('new0', 1, 1);
-    scene.pass(STEP_MS);
+    scene.addAnswers('new0', 1, 1);
+    scene.advance(STEP_MS);
   }
   t.not(scene.vm.phase, 'stopped');
 });
 
-test('a version that fails on one rare route is stopped', (t) => {
+test('a version that fails on a single rarely used route is stopped', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   for (let i = 0; i < 30; i++) {
-    scene.answer('old', 2, 0, 'sale');
-    scene.answer(`new${i % 3}`, 1, i % 2, 'sale');
-    scene.pass(STEP_MS, { answers: 5, bad: 0 });
+    scene.addAnswers('old', 2, 0, 'sale');
+    scene.addAnswers(`new${i % 3}`, 1, i % 2, 'sale');
+    scene.advance(STEP_MS, { answers: 5, bad: 0 });
   }
   t.is(scene.vm.phase, 'stopped');
 });
 
-test('one VM’s word that a version is condemned is enough', (t) => {
-  // Its coordinator may be cut off from this one, and the store away from both.
+test('a single VM’s report that a version was stopped is sufficient', (t) => {
+  // Its coordinator may be partitioned from this one, and the store unreachable for both.
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   scene.vm.phase = 'stopped';
   scene.report();
   t.is(scene.coordinator.getDueState(scene.now), 'rolledBack');
 });
 
-test('completion waits for requests that are still at old targets', (t) => {
-  // Old targets stop at once when it is written, and what they are at work on is lost.
+test('completion waits for the requests that remain at old targets', (t) => {
+  // Old targets are stopped as soon as completion is written, and requests still running there are
+  // lost.
   const scene = new CoordinatorScene();
   scene.vm.oldRequests = 1;
-  scene.pass(9_900);
+  scene.advance(9_900);
   t.is(scene.vm.phase, 'moved');
   t.is(scene.coordinator.getDueState(scene.now), undefined);
   scene.vm.oldRequests = 0;
@@ -160,44 +165,44 @@
   t.is(scene.coordinator.getDueState(scene.now), 'completed');
 });
 
-test('a report that comes twice, late or out of order is counted once', (t) => {
+test('a duplicate, late or reordered report is counted once', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   const before = scene.coordinator.getInputs(scene.now);
   scene.report({ sequence: 3, counts: { 'new0 lookup': { answers: 100, bad: 100 } } });
   scene.report({ sequence: 10 });
   t.deepEqual(scene.coordinator.getInputs(scene.now), before);
 });
 
-test('what a VM counted before its restart stays counted', (t) => {
+test('answers that a VM counted before its restart remain in the totals', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(1_000);
+  scene.advance(1_000);
   const { newAnswers } = scene.coordinator.getInputs(scene.now);
   scene.report({ run: 'b', sequence: 1, counts: { 'new0 lookup': { answers: 3, bad: 0 } } });
   t.is(scene.coordinator.getInputs(scene.now).newAnswers, newAnswers + 3);
 });
 
-test('a coordinator that takes over goes on where the others are', (t) => {
-  // The first one is killed in the middle of the move. Back in the trial, requests would go to old
-  // targets again, and the move would miss its time.
+test('a coordinator that takes over continues in the current phase', (t) => {
+  // The first coordinator is killed during the move. If its successor went back to the trial,
+  // requests would go to old targets again and the move would miss its deadline.
   const scene = new CoordinatorScene();
-  scene.pass(9_500);
+  scene.advance(9_500);
   t.is(scene.vm.phase, 'moved');
   scene.coordinator = new RolloutCoordinator(ORDER, BOUND, scene.now);
-  scene.pass(1_400);
-  t.is(scene.coordinator.lastPhase, 'moved');
+  scene.advance(1_400);
+  t.is(scene.coordinator.currentPhase, 'moved');
   t.is(scene.coordinator.getDueState(scene.now), 'completed');
 });
 
-test('a version of which too little is seen is neither completed nor tried for ever', (t) => {
+test('a version with too few answers is never completed and is rolled back after twice the ordered time', (t) => {
   const scene = new CoordinatorScene();
-  scene.pass(DURATION_MS, { answers: 0, bad: 0 });
+  scene.advance(DURATION_MS, { answers: 0, bad: 0 });
   t.is(scene.coordinator.getDueState(scene.now), undefined);
-  scene.pass(1.1 * DURATION_MS, { answers: 0, bad: 0 });
+  scene.advance(1.1 * DURATION_MS, { answers: 0, bad: 0 });
   t.is(scene.coordinator.getDueState(scene.now), 'rolledBack');
 });
 
-test('whatever is reported, a stopped version is never completed', (t) => {
+test('a stopped version is never completed, whatever VMs report', (t) => {
   const step = fc.record({
     answers: fc.nat(5),
     badShare: fc.double({ min: 0, max: 1, noNaN: true }),
@@ -211,9 +216,9 @@
       let isStopped = false;
       for (const { answers, badShare, phase, ms, restarts } of steps) {
         if (restarts) scene.coordinator = new RolloutCoordinator(ORDER, BOUND, scene.now);
-        // A VM that was told to stop says so for good.
+        // A VM that was told to stop keeps reporting so.
         if (!isStopped) scene.vm.phase = phase;
-        scene.pass(ms, { answers, bad: Math.floor(answers * badShare) });
+        scene.advance(ms, { answers, bad: Math.floor(answers * badShare) });
         isStopped ||= scene.vm.phase === 'stopped';
         const due = scene.coordinator.getDueState(scene.now);
         if (isStopped && due !== 'rolledBack') return false;
@@ -225,19 +230,20 @@
   t.pass();
 });
 
-test('a coordinator that hears from few VMs lets none go on and completes nothing', (t) => {
-  // It may be cut off from the others, which go on sending to old targets.
+test('a coordinator that hears from few VMs gives no guidance and completes nothing', (t) => {
+  // It may be partitioned from the other VMs, which still send requests to old targets.
   const scene = new CoordinatorScene();
-  scene.pass(9_500);
+  scene.advance(9_500);
   t.is(scene.vm.phase, 'moved');
   t.is(scene.coordinator.decide(scene.now, 10), undefined);
   t.is(scene.coordinator.getDueState(scene.now), undefined);
 });
 
-test('a coordinator that VMs no longer report to completes nothing', (t) => {
-  // They may be cut off from it and have gone on to others, which have condemned the version meanwhile.
+test('a coordinator that receives no more reports completes nothing', (t) => {
+  // The VMs may be partitioned from it and have turned to other coordinators, which may have
+  // stopped the version meanwhile.
   const scene = new CoordinatorScene();
-  scene.pass(9_500);
+  scene.advance(9_500);
   scene.vm.oldRequests = 1;
   scene.report();
   t.is(scene.vm.phase, 'moved');
--- a/src/tests/rollouts/evidence.test.ts
+++ b/src/tests/rollouts/evidence.test.ts
@@ -2,14 +2,14 @@
 
 import { VersionEvidence } from '../../rollouts/index.js';
 
-test('totals that were reported stay as they were', (t) => {
-  // A VM that coordinates takes its own reports without a datagram. Compared with totals that grow after
-  // all, none of its later answers counted.
+test('reported totals do not change with later answers', (t) => {
+  // A coordinating VM receives its own reports without a datagram. When the reported totals were
+  // shared objects that kept growing, none of the VM's later answers were counted.
   const evidence = new VersionEvidence();
-  evidence.note('lookup', undefined, false);
+  evidence.recordAnswer('lookup', undefined, false);
   const { totals } = evidence;
-  evidence.note('lookup', undefined, true);
-  evidence.note('lookup', 2, true);
+  evidence.recordAnswer('lookup', undefined, true);
+  evidence.recordAnswer('lookup', 2, true);
   t.deepEqual(totals, { 'old lookup': { answers: 1, bad: 0 } });
   t.deepEqual(evidence.totals, {
     'old lookup': { answers: 2, bad: 1 },
@@ -17,9 +17,9 @@
   });
 });
 
-test('a VM reports few routes apart, and the rest together', (t) => {
+test('a VM reports a few routes separately and the others together', (t) => {
   const evidence = new VersionEvidence();
-  for (let i = 0; i < 100; i++) evidence.note(`route-${i}`, i, false);
+  for (let i = 0; i < 100; i++) evidence.recordAnswer(`route-${i}`, i, false);
   t.true(Object.keys(evidence.totals).length < 40);
   const answers = Object.values(evidence.totals).map((count) => count.answers);
   t.is(
