--- a/src/balancing/BalancerState.ts
+++ b/src/balancing/BalancerState.ts
@@ -2,8 +2,8 @@
 import { CallerTimes } from './CallerTimes.js';
 import { ColdAllowance } from './ColdAllowance.js';
 import type { RequestArrived } from './events.js';
-import type { Journey, Sending } from './Journey.js';
-import type { RoutingTable, ServiceRules } from './model.js';
+import type { PendingRequest, PendingAttempt } from './PendingRequest.js';
+import type { RoutingTable, ServicePolicy } from './model.js';
 import { LimitView, PermitIssuer, PermitPool } from '../limits/index.js';
 import { ProbeBudget } from './ProbeBudget.js';
 import { RetryBudget } from './RetryBudget.js';
@@ -13,7 +13,7 @@
 import type { TargetRecord } from './TargetRecord.js';
 import { WorkTimes } from './WorkTimes.js';
 
-/** What a handler may ask of the outside: time and chance, nothing else. */
+/** The clock and random source of a handler; nothing else reaches it from outside. */
 export interface BalancerContext {
   /** Monotonic milliseconds of this process. */
   readonly now: number;
@@ -21,50 +21,54 @@
   random(): number;
 }
 
-/** All that this entry VM knows. The reducer owns it and updates it in place. */
+/** State of this entry VM's balancer. The reducer owns it and updates it in place. */
 export interface BalancerState {
   readonly settings: BalancingSettings;
   /** When this process started; monotonic milliseconds. */
   readonly startedAt: number;
-  /** Requests that came before configuration and targets were known. */
-  readonly early: Map<RequestId, RequestArrived>;
+  /** Requests that arrived before configuration and targets were known. */
+  readonly heldRequests: Map<RequestId, RequestArrived>;
   table: RoutingTable | undefined;
-  services: ReadonlyMap<ServiceName, ServiceRules>;
+  services: ReadonlyMap<ServiceName, ServicePolicy>;
   readonly targets: Map<TargetId, TargetRecord>;
-  /** Whether there are targets that were not read yet. */
-  isPartial: boolean;
-  /** The same records by service, those that this VM prefers first. */
-  byService: ReadonlyMap<ServiceName, readonly TargetRecord[]>;
+  /** Whether more targets are registered than have been read. */
+  isTargetListPartial: boolean;
+  /** The same records by service, sorted by this VM's preference. */
+  targetsByService: ReadonlyMap<ServiceName, readonly TargetRecord[]>;
   zonesOut: ReadonlySet<ZoneName>;
-  /** Entry VMs that are up, this one among them. */
-  vms: readonly string[];
-  /** Entry VMs that have announced themselves, up or not: on these all VMs agree sooner. */
-  announced: readonly string[];
-  readonly journeys: Map<RequestId, Journey>;
-  readonly sendings: Map<AttemptId, Sending>;
-  lastAttempt: AttemptId;
-  readonly retries: RetryBudget;
-  readonly cold: ColdAllowance;
-  /** Requests a second that targets say they take from all entry VMs together. */
+  /** Names of the entry VMs that are up, including this one. */
+  liveVms: readonly string[];
+  /**
+   * Names of all entry VMs that have announced themselves, up or not. The VMs' views of this list
+   * converge sooner than those of the live VMs.
+   */
+  announcedVms: readonly string[];
+  readonly pendingRequests: Map<RequestId, PendingRequest>;
+  readonly pendingAttempts: Map<AttemptId, PendingAttempt>;
+  lastAttemptId: AttemptId;
+  readonly retryBudget: RetryBudget;
+  readonly coldRate: ColdAllowance;
+  /** Requests per second that targets accept from all entry VMs together, as advertised. */
   readonly limits: LimitView;
-  /** Permits to send to limited targets: those that this VM holds, and those that it issues. */
+  /** Permits to send to limited targets: `permits` holds those of this VM, `issuer` grants them. */
   readonly permits: PermitPool;
   readonly issuer: PermitIssuer;
-  readonly probes: ProbeBudget;
-  readonly work: WorkTimes;
-  /** What is learnt of each service's targets. */
-  readonly curves: Map<ServiceName, ServiceCurve>;
+  readonly probeBudget: ProbeBudget;
+  readonly workTimes: WorkTimes;
+  /** What has been learnt about each service's targets. */
+  readonly serviceCurves: Map<ServiceName, ServiceCurve>;
   readonly callerTimes: CallerTimes;
-  /** Versions of targets that requests may go to. */
+  /** Versions of targets that requests may be sent to. */
   readonly versions: ServiceVersions;
-  /** When a planned stop began; undefined if none did. */
-  stopAskedAt: number | undefined;
+  /** When a graceful shutdown began, monotonic milliseconds; undefined if none did. */
+  shutdownStartedAt: number | undefined;
 }
 
 /**
- * Makes the state of a process that has just started.
+ * Creates the state of a process that has just started.
  * @param settings - Checked settings.
- * @param startedAt - When the process started; monotonic milliseconds, which mostly count from then.
+ * @param startedAt - When the process started; monotonic milliseconds, which usually count from
+ * then.
  * @example
  * const state = createBalancerState(settings, clock.now());
  */
@@ -72,42 +76,45 @@
   return {
     settings,
     startedAt,
-    early: new Map(),
+    heldRequests: new Map(),
     table: undefined,
     services: new Map(),
     targets: new Map(),
-    isPartial: false,
-    byService: new Map(),
+    isTargetListPartial: false,
+    targetsByService: new Map(),
     zonesOut: new Set(),
-    vms: [settings.vm],
-    announced: [settings.vm],
-    journeys: new Map(),
-    sendings: new Map(),
-    lastAttempt: 0,
-    retries: new RetryBudget(settings.retries),
-    cold: new ColdAllowance(settings.cold),
+    liveVms: [settings.vm],
+    announcedVms: [settings.vm],
+    pendingRequests: new Map(),
+    pendingAttempts: new Map(),
+    lastAttemptId: 0,
+    retryBudget: new RetryBudget(settings.retries),
+    coldRate: new ColdAllowance(settings.cold),
     limits: new LimitView(),
     permits: new PermitPool(),
     issuer: new PermitIssuer(),
-    probes: new ProbeBudget(settings.probesPerTargetAndSecond),
-    work: new WorkTimes(),
-    curves: new Map(),
+    probeBudget: new ProbeBudget(settings.probesPerTargetAndSecond),
+    workTimes: new WorkTimes(),
+    serviceCurves: new Map(),
     callerTimes: new CallerTimes(),
     versions: new ServiceVersions(settings.rollouts !== undefined),
-    stopAskedAt: undefined,
+    shutdownStartedAt: undefined,
   };
 }
 
 /**
- * What is learnt of a service's targets; a first guess if nothing is yet.
- * @param state - What is known.
+ * Returns what has been learnt about a service's targets; created with initial estimates if needed.
+ * @param state - State of this entry VM.
  * @param service - The service.
  */
-export function getCurve({ curves }: BalancerState, service: ServiceName): ServiceCurve {
-  let curve = curves.get(service);
+export function getServiceCurve(
+  { serviceCurves }: BalancerState,
+  service: ServiceName,
+): ServiceCurve {
+  let curve = serviceCurves.get(service);
   if (curve === undefined) {
     curve = new ServiceCurve();
-    curves.set(service, curve);
+    serviceCurves.set(service, curve);
   }
   return curve;
 }
--- a/src/balancing/CallerTimes.ts
+++ b/src/balancing/CallerTimes.ts
@@ -1,59 +1,60 @@
-/** Times that are counted for one route; callers of one kind allow few different ones. */
-const MOST_TIMES = 16;
+/** Maximum number of distinct timeouts counted for one route; callers of one kind use few. */
+const MAX_DISTINCT_TIMEOUTS = 16;
 
-/** From this many requests on, counts are halved, so that a change of callers shows soon. */
-const HALVE_AT = 200;
+/** Counts are halved above this many requests, so that a change of the callers shows soon. */
+const HALVE_AT_COUNT = 200;
 
-/** Times are told apart by so much, in milliseconds. */
-const STEP_MS = 10;
+/** Timeouts are counted in steps of this size, in milliseconds. */
+const TIMEOUT_STEP_MS = 10;
 
 /**
- * Part by which callers that ask for the first time allow less than is usual, at the most, with some
- * room: many of them allow somewhat less than the others on their route.
+ * A first request may allow up to this share less than the most common timeout of its route. Many
+ * callers allow somewhat less than the others; the value leaves some margin.
  */
-export const FIRST_TIMES_SPREAD = 0.18;
+export const FIRST_TIMEOUT_TOLERANCE = 0.18;
 
 /**
- * What time callers allow when they ask for the first time.
+ * Estimates whether a request is a caller's first try, from the timeouts that callers of its route
+ * allow.
  *
- * A caller that comes back after a refusal allows what is left to it, so that a request which allows
- * far less than is usual on its route was asked for before. Callers count their objective from the
- * first time; without this, requests that are late already would take the place of those that are not.
- * Who allows just a little less has not asked before: taken for late, a third of all requests would
- * wait behind the others and be refused.
+ * A caller that retries after a refusal allows only the time it has left, so a request that allows
+ * far less than is common on its route is a retry. Callers measure their objective from their first
+ * try. Without this estimate, requests that are late already would take the place of others that
+ * are not. A caller that allows only a little less is on its first try: if it were taken for late,
+ * a third of all requests would wait behind the others and be refused.
  */
 export class CallerTimes {
-  /** Requests by route and allowed time. @internal */
-  private readonly routes = new Map<string, Map<number, number>>();
+  /** Number of requests by route and timeout step. @internal */
+  private readonly countsByRoute = new Map<string, Map<number, number>>();
 
   /**
-   * Counts a request, and tells how long ago its caller asked first.
-   * @param route - Name of its route.
-   * @param allowedMs - Time that its caller allows, in milliseconds.
-   * @returns Milliseconds; 0 if it allows as much as callers do that ask for the first time.
+   * Counts a request and returns the estimated time since its caller's first try.
+   * @param route - Name of the route.
+   * @param allowedMs - Timeout of the caller, in milliseconds.
+   * @returns Milliseconds; 0 if the caller allows as much time as on a first try.
    */
-  note(route: string, allowedMs: number): number {
-    const counts = this.routes.get(route) ?? new Map<number, number>();
-    this.routes.set(route, counts);
-    const step = Math.round(allowedMs / STEP_MS);
-    counts.set(step, (counts.get(step) ?? 0) + 1);
-    let usual = step;
-    let most = 0;
+  recordTimeout(route: string, allowedMs: number): number {
+    const counts = this.countsByRoute.get(route) ?? new Map<number, number>();
+    this.countsByRoute.set(route, counts);
+    const timeoutStep = Math.round(allowedMs / TIMEOUT_STEP_MS);
+    counts.set(timeoutStep, (counts.get(timeoutStep) ?? 0) + 1);
+    let usualStep = timeoutStep;
+    let maxCount = 0;
     let total = 0;
-    for (const [each, count] of counts) {
+    for (const [otherStep, count] of counts) {
       total += count;
-      if (count > most) {
-        usual = each;
-        most = count;
+      if (count > maxCount) {
+        usualStep = otherStep;
+        maxCount = count;
       }
     }
-    if (total > HALVE_AT || counts.size > MOST_TIMES) this.halve(counts);
-    if (step >= usual * (1 - FIRST_TIMES_SPREAD)) return 0;
-    return (usual - step) * STEP_MS;
+    if (total > HALVE_AT_COUNT || counts.size > MAX_DISTINCT_TIMEOUTS) this.halveCounts(counts);
+    if (timeoutStep >= usualStep * (1 - FIRST_TIMEOUT_TOLERANCE)) return 0;
+    return (usualStep - timeoutStep) * TIMEOUT_STEP_MS;
   }
 
   /** @internal */
-  private halve(counts: Map<number, number>): void {
+  private halveCounts(counts: Map<number, number>): void {
     for (const [step, count] of counts) {
       if (count < 2) counts.delete(step);
       else counts.set(step, count / 2);
--- /dev/null
+++ b/src/balancing/PendingRequest.ts
@@ -0,0 +1,69 @@
+import type { AttemptId, RequestId, ServiceName, TargetId } from '../core/model/index.js';
+import type { Route } from './model.js';
+import type { LoadSnapshot } from './ServiceCurve.js';
+import type { TargetRecord } from './TargetRecord.js';
+import type { VersionTrack } from './versions.js';
+
+/** One attempt to have a target answer a request. */
+export interface PendingAttempt {
+  readonly id: AttemptId;
+  readonly request: RequestId;
+  readonly target: TargetRecord;
+  readonly sentAt: number;
+  /** Expected time to the answer, without the target's own slowness, in milliseconds. */
+  readonly expectedMs: number;
+  /** Estimated work time of the request, in milliseconds. */
+  readonly workMs: number;
+  readonly load: LoadSnapshot;
+  /** When the attempt counts as overdue and its target as slow; monotonic milliseconds. */
+  readonly overdueAt: number;
+  isOverdue: boolean;
+}
+
+/** One round of probes on behalf of a request. */
+export interface ProbeRound {
+  readonly startedAt: number;
+  /** Targets whose probe result, or a permit for which, is awaited. */
+  readonly awaitedTargets: Set<TargetId>;
+  /** Targets that permits were asked for. */
+  readonly permitTargets: Set<TargetRecord>;
+}
+
+/** A request that has arrived and has no answer yet. */
+export interface PendingRequest {
+  readonly id: RequestId;
+  /** Id that the caller gave it. */
+  readonly callerRequestId: string | undefined;
+  readonly route: Route;
+  readonly service: ServiceName;
+  /** Version that the request is for while its service is being moved to another one. */
+  track: VersionTrack;
+  readonly arrivedAt: number;
+  /**
+   * Estimated time between the caller's first try and this arrival, in milliseconds; 0 for a first
+   * try.
+   */
+  readonly sinceFirstMs: number;
+  /** Latest time of an answer that meets the route's objective; monotonic milliseconds. */
+  readonly dueAt: number;
+  /** The route's or the caller's timeout, whichever is sooner; monotonic milliseconds. */
+  readonly deadlineAt: number;
+  /** When the caller gives up on its own; monotonic milliseconds. */
+  readonly callerTimeoutAt: number;
+  round: ProbeRound | undefined;
+  /** Probe rounds started so far. */
+  roundCount: number;
+  /**
+   * No further round starts before this time unless a probe result arrives; monotonic milliseconds.
+   */
+  nextRoundAt: number;
+  readonly attempts: Set<PendingAttempt>;
+  /** Targets that it was sent to. */
+  readonly triedTargets: Set<TargetId>;
+  /** Whether a target may have run it. */
+  hasPossiblyRun: boolean;
+  /** Whether the attempt that is being placed is a retry taken from the retry budget. */
+  isRetryBudgeted: boolean;
+  /** Whether a hedge was taken from the retry budget. */
+  isHedged: boolean;
+}
--- a/src/balancing/ProbeBudget.ts
+++ b/src/balancing/ProbeBudget.ts
@@ -1,37 +1,42 @@
 import type { ServiceName } from '../core/model/index.js';
 
-/** Part of the bound that is used: views of the fleet differ, and windows have edges. */
-const SAFETY = 0.8;
+/**
+ * Share of the limit that is used, since the VMs' views of the fleet differ and windows have edges.
+ */
+const SAFETY_FACTOR = 0.8;
 
-/** Probes that may be saved up, in seconds' worth: the bound holds on average. */
+/** Probes that may be saved up, in seconds; the limit holds on average. */
 const BURST_S = 4;
 
 /**
- * Bounds the probes that this entry VM sends to each service: its share of what all entry VMs
+ * Limits the probes that this entry VM sends to each service, to its share of what all entry VMs
  * together may send to the service's targets.
  */
 export class ProbeBudget {
   /** @internal */
-  private readonly services = new Map<ServiceName, { left: number; at: number }>();
+  private readonly buckets = new Map<ServiceName, { tokens: number; updatedAt: number }>();
 
-  /** @param perTargetAndSecond - Bound for all entry VMs together. */
-  constructor(private readonly perTargetAndSecond: number) {}
+  /** @param perTargetPerSecond - Probes per target and second, for all entry VMs together. */
+  constructor(private readonly perTargetPerSecond: number) {}
 
   /**
-   * Takes some probes out of the budget.
-   * @param service - Whose targets are probed.
-   * @param wanted - Probes wanted.
-   * @param targets - Targets of the service.
-   * @param vms - Entry VMs that share the bound.
+   * Takes up to a number of probes from the budget.
+   * @param service - Service whose targets are probed.
+   * @param wanted - Number of probes wanted.
+   * @param targets - Number of targets of the service.
+   * @param vms - Number of entry VMs that share the limit.
    * @param now - Monotonic milliseconds.
-   * @returns How many may be sent.
+   * @returns Number of probes that may be sent.
    */
   take(service: ServiceName, wanted: number, targets: number, vms: number, now: number): number {
-    const rate = (SAFETY * this.perTargetAndSecond * targets) / Math.max(1, vms);
-    const known = this.services.get(service) ?? { left: rate * BURST_S, at: now };
-    const left = Math.min(rate * BURST_S, known.left + ((now - known.at) / 1_000) * rate);
-    const taken = Math.min(wanted, Math.floor(left));
-    this.services.set(service, { left: left - taken, at: now });
-    return taken;
+    const rate = (SAFETY_FACTOR * this.perTargetPerSecond * targets) / Math.max(1, vms);
+    const budget = this.buckets.get(service) ?? { tokens: rate * BURST_S, updatedAt: now };
+    const available = Math.min(
+      rate * BURST_S,
+      budget.tokens + ((now - budget.updatedAt) / 1_000) * rate,
+    );
+    const granted = Math.min(wanted, Math.floor(available));
+    this.buckets.set(service, { tokens: available - granted, updatedAt: now });
+    return granted;
   }
 }
--- a/src/balancing/RetryBudget.ts
+++ b/src/balancing/RetryBudget.ts
@@ -3,86 +3,90 @@
 /** Length of one counting bucket, in milliseconds: a twentieth of the usual window of 10 s. */
 const BUCKET_MS = 500;
 
-/** Share of the allowance that is used: a request near a window's edge may be counted outside it. */
-const SAFETY = 0.85;
+/**
+ * Share of the budget that is used, since a request near the edge of a window may be counted
+ * outside it.
+ */
+const SAFETY_FACTOR = 0.85;
 
-/** How much may be repeated. */
+/** Limit on retries and hedges. */
 export interface RetryBudgetOptions {
-  /** Repeats per request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
   /** Length of the sliding window, in milliseconds. */
   readonly windowMs: number;
-  /** Repeats in a window on top, of all entry VMs together. */
+  /** Additional retries in a window, for all entry VMs together. */
   readonly slack: number;
 }
 
-interface Counts {
+interface BucketCounts {
   /** Index of the bucket, counted from time 0. */
   readonly bucket: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
 /**
- * Bounds the repeats that this entry VM sends to each service.
+ * Limits the retries and hedges that this entry VM sends to each service.
  *
- * When targets fail, each request that is repeated adds load to those that are left; seen as a
- * service that stays down after its cause has gone. Each entry VM counts its own requests and its
- * share of the slack only, so the sum over all of them keeps to the bound without any of them
- * knowing what the others do.
+ * When targets fail, each retry adds load to the remaining ones, which can keep a service down
+ * after the cause has gone. Each entry VM counts only its own requests and its share of the slack,
+ * so that the sum over all VMs stays within the limit without any coordination.
  */
 export class RetryBudget {
   /** @internal */
-  private readonly services = new Map<ServiceName, Counts[]>();
+  private readonly countsByService = new Map<ServiceName, BucketCounts[]>();
 
-  /** @param options - Bound for all entry VMs together. */
+  /** @param options - Limit for all entry VMs together. */
   constructor(private readonly options: RetryBudgetOptions) {}
 
   /**
-   * Counts a caller's request for a service.
-   * @param service - Where it goes.
+   * Counts a caller's request.
+   * @param service - Service of the request.
    * @param now - Monotonic milliseconds.
    */
-  noteRequest(service: ServiceName, now: number): void {
-    this.getCounts(service, now).requests += 1;
+  recordRequest(service: ServiceName, now: number): void {
+    this.getCurrentBucket(service, now).requests += 1;
   }
 
   /**
-   * Takes one repeat out of the budget, if there is one.
-   * @param service - Where it goes.
-   * @param vmCount - Entry VMs that share the slack.
+   * Takes one retry from the budget, if there is one.
+   * @param service - Service of the request.
+   * @param vmCount - Number of entry VMs that share the slack.
    * @param now - Monotonic milliseconds.
-   * @param share - Part of the budget that this kind of repeat may use up.
-   * @returns Whether the repeat may be sent.
+   * @param share - Share of the budget that this kind of retry may use.
+   * @returns Whether the retry may be sent.
    * @example
    * if (budget.take('horaires', 15, clock.now())) sendAgain();
    */
   take(service: ServiceName, vmCount: number, now: number, share = 1): boolean {
-    const current = this.getCounts(service, now);
+    const current = this.getCurrentBucket(service, now);
     let requests = 0;
-    let repeats = 0;
-    for (const counts of this.services.get(service) ?? []) {
+    let retries = 0;
+    for (const counts of this.countsByService.get(service) ?? []) {
       requests += counts.requests;
-      repeats += counts.repeats;
+      retries += counts.retries;
     }
     const { ratio, slack } = this.options;
-    const allowed = share * SAFETY * (ratio * requests + slack / Math.max(1, vmCount));
-    if (repeats + 1 > allowed) return false;
-    current.repeats += 1;
+    const allowed = share * SAFETY_FACTOR * (ratio * requests + slack / Math.max(1, vmCount));
+    if (retries + 1 > allowed) return false;
+    current.retries += 1;
     return true;
   }
 
   /** @internal */
-  private getCounts(service: ServiceName, now: number): Counts {
+  private getCurrentBucket(service: ServiceName, now: number): BucketCounts {
     const bucket = Math.floor(now / BUCKET_MS);
-    const oldest = bucket - Math.ceil(this.options.windowMs / BUCKET_MS);
-    const kept = (this.services.get(service) ?? []).filter((each) => each.bucket >= oldest);
-    let current = kept.at(-1);
+    const oldestBucket = bucket - Math.ceil(this.options.windowMs / BUCKET_MS);
+    const recent = (this.countsByService.get(service) ?? []).filter(
+      (each) => each.bucket >= oldestBucket,
+    );
+    let current = recent.at(-1);
     if (current?.bucket !== bucket) {
-      current = { bucket, requests: 0, repeats: 0 };
-      kept.push(current);
+      current = { bucket, requests: 0, retries: 0 };
+      recent.push(current);
     }
-    this.services.set(service, kept);
+    this.countsByService.set(service, recent);
     return current;
   }
 }
--- a/src/balancing/ServiceCurve.ts
+++ b/src/balancing/ServiceCurve.ts
@@ -1,254 +1,272 @@
 import {
-  COLD_SLOWDOWN,
-  KNEE_SHARE,
-  KNEE_SLOWDOWN,
-  SLOWDOWN_WEIGHT,
-  SLOWDOWN_WEIGHT_MOST,
+  INITIAL_COLD_SLOWDOWN,
+  INITIAL_KNEE_SHARE,
+  INITIAL_KNEE_SLOWDOWN,
+  INITIAL_SLOWDOWN_WEIGHT,
+  MAX_SLOWDOWN_WEIGHT,
 } from './settings.js';
 
-/** Occupancy is told apart in so many levels; a target with six slots has six of them. */
-const LEVELS = 8;
+/**
+ * Number of occupancy levels; each slot of a target with six slots falls into a level of its own.
+ */
+const LEVEL_COUNT = 8;
 
 /**
- * One answer moves a level by this part at the least, and by more while few are known: 20 answers
- * all on one side move it by half.
+ * Minimum relative step by which one answer moves a level; the first answers move it by more. With
+ * this step, 20 answers that are all slower or all faster move a level by about half.
  */
-const LEVEL_STEP = 0.02;
-const LEVEL_FIRST_STEP = 0.3;
+const LEVEL_MIN_STEP = 0.02;
+const LEVEL_INITIAL_STEP = 0.3;
 
-/** Most that a level's work is thought to take longer than an idle target's. */
-const LEVEL_MOST = 6;
+/** Upper bound of a level: work is assumed to take at most this many times as long as when idle. */
+const MAX_LEVEL = 6;
 
-/** Weight of one answer in the moving averages: half of what is known comes from the last 14. */
-const WEIGHT = 0.05;
+/** Weight of one answer in the moving averages: the last 14 answers make up half of the average. */
+const AVERAGE_WEIGHT = 0.05;
 
-/** One answer counts as no more than this factor off what was expected, either way. */
-const MOST_FACTOR = 2;
+/**
+ * Ratio of the observed to the estimated cold slowdown, either way, beyond which answers are
+ * clipped.
+ */
+const MAX_DEVIATION_FACTOR = 2;
 
-const COLD_MOST = 6;
+const MAX_COLD_SLOWDOWN = 6;
 
 /**
- * Part of the most that a target can get done that is as good as the most. Levels are off by about as
- * much, and of two that do the same the emptier one answers sooner.
+ * An occupancy counts as best if its throughput is at least this share of the maximum. The levels
+ * are off by about as much, and of two occupancies with equal throughput the lower one answers
+ * sooner.
  */
-const NEARLY_MOST = 0.95;
+const NEAR_MAX_SHARE = 0.95;
 
-/** A slowdown that is read must be as large as this for an answer to tell what it is worth. */
-const TELLING_SLOWDOWN = 1.5;
+/** Minimum slowdown in a reading for which an answer is used to learn `slowdownWeight`. */
+const MIN_SAMPLED_SLOWDOWN = 1.5;
 
-/** What was known of a target as a request was sent there. */
-export interface SendingBasis {
-  /** Requests that run there with this one. */
-  readonly busy: number;
+/** Load of a target at the time when an attempt was sent. */
+export interface LoadSnapshot {
+  /** Slots that are occupied, including the one of this request. */
+  readonly occupied: number;
   readonly slots: number;
-  /** How long work takes on its VM, as it was read; 1 is as usual. */
+  /** How many times as long work takes on the target's VM, as read; 1 is normal. */
   readonly slowdown: number;
   readonly isCold: boolean;
-  /** Requests that waited before it. */
-  readonly ahead: number;
+  /** Requests in the target's queue ahead of this one. */
+  readonly queuedAhead: number;
 }
 
-/** A guess of when targets slow down with load, and by how much. */
-export interface CurveGuess {
-  /** Part of the slots beyond which work that starts takes longer. */
+/** Initial estimate of when targets slow down under load, and by how much. */
+export interface InitialSlowdown {
+  /** Share of the slots above which work that starts takes longer. */
   readonly kneeShare: number;
   readonly kneeSlowdown: number;
 }
 
-const FIRST_GUESS: CurveGuess = { kneeShare: KNEE_SHARE, kneeSlowdown: KNEE_SLOWDOWN };
+const DEFAULT_INITIAL_SLOWDOWN: InitialSlowdown = {
+  kneeShare: INITIAL_KNEE_SHARE,
+  kneeSlowdown: INITIAL_KNEE_SLOWDOWN,
+};
 
-/** What is learnt of a service's targets, for metrics and the log. */
-export interface LearntCurve {
-  /** How many times as long work takes by level of occupancy, the emptiest first. */
+/** What has been learnt about a service's targets, for metrics and the log. */
+export interface SlowdownEstimates {
+  /** Factors by which work takes longer, by occupancy level; the lowest occupancy first. */
   readonly levels: readonly number[];
   readonly slowdownWeight: number;
   readonly coldSlowdown: number;
   readonly answers: number;
 }
 
-/** What is best is kept by steps of a tenth of the slack, and is the same beyond this slack. */
+/**
+ * Best occupancies are cached by steps of a tenth of the slack; a larger slack counts as the
+ * maximum.
+ */
 const SLACK_STEPS = 10;
-const SLACK_MOST = 20;
+const MAX_SLACK = 20;
 
 /**
- * Standard deviation of the logarithm of work: requests of one route differ by so much. A guess for
- * services that nobody has looked at; half or twice as much moves what is best by one slot at the most.
+ * Standard deviation of the logarithm of work times within one route. It is a guess for unknown
+ * services: half or twice as much changes the best occupancy by one slot at the most.
  */
-const WORK_SPREAD = 0.3;
+const WORK_LOG_DEVIATION = 0.3;
 
-/** By this factor a logistic curve is nearly a normal distribution's. */
-const LOGISTIC = 1.7;
+/** Scale with which a logistic distribution approximates a normal one. */
+const LOGISTIC_SCALE = 1.7;
 
-/** Share of requests that take less than so many times their expected time. */
-function getInTimeShare(slack: number): number {
-  return 1 / (1 + slack ** (-LOGISTIC / WORK_SPREAD));
+/** Returns the share of requests that take less than `slack` times their expected time. */
+function getOnTimeShare(slack: number): number {
+  return 1 / (1 + slack ** (-LOGISTIC_SCALE / WORK_LOG_DEVIATION));
 }
 
-/** Factor from which on a change of what is learnt is told. */
-const NEWS_FACTOR = 1.3;
+/** Factor by which an estimate has to change to be reported again. */
+const REPORTED_CHANGE_FACTOR = 1.3;
 
-function isFarOff(value: number, told: number): boolean {
-  const least = 0.05;
-  const ratio = Math.max(least, value) / Math.max(least, told);
-  return ratio > NEWS_FACTOR || ratio < 1 / NEWS_FACTOR;
+function hasChangedMuch(value: number, reported: number): boolean {
+  const floor = 0.05;
+  const ratio = Math.max(floor, value) / Math.max(floor, reported);
+  return ratio > REPORTED_CHANGE_FACTOR || ratio < 1 / REPORTED_CHANGE_FACTOR;
 }
 
-function getLevel(busy: number, slots: number): number {
-  return Math.min(LEVELS, Math.max(1, Math.ceil((busy / slots) * LEVELS))) - 1;
+function getLevelIndex(occupied: number, slots: number): number {
+  return Math.min(LEVEL_COUNT, Math.max(1, Math.ceil((occupied / slots) * LEVEL_COUNT))) - 1;
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, lower: number, upper: number): number {
+  return Math.min(upper, Math.max(lower, value));
 }
 
 /**
- * How much longer work takes at a service's targets when they are full, slow or cold, learnt from
- * answers.
+ * Learns from answers how much longer work takes at a service's targets when they are full, slow or
+ * cold.
  *
- * Targets differ: some slow down from half of their slots on, some never. Judged by the figures of
- * other targets, the first are filled until all is late, and of the second a third stands idle. A
- * first guess holds until answers tell otherwise.
+ * Targets differ: some slow down from half of their slots on, some never. With the figures of other
+ * targets, the former would be filled until all answers are late, and a third of the latter would
+ * stay idle. Initial estimates hold until answers show otherwise.
  *
- * The work at a level of occupancy is followed by its median: each answer moves it by one small step,
- * however far off the answer is, so that a few wrong ones (a target that is slower than it says, an
- * answer that was spoilt on its way) cannot drag it far.
+ * Each occupancy level follows the median of the observed ratios: an answer moves it by one small
+ * step, however far off the answer is. A few wrong answers, such as those of a target that is
+ * slower than it reports or answers that were corrupted on the way, therefore move it only a
+ * little.
  */
 export class ServiceCurve {
   /** @internal */
   private readonly levels: number[];
 
-  /** Answers by level. @internal */
-  private readonly counts = new Array<number>(LEVELS).fill(0);
+  /** Number of answers by level. @internal */
+  private readonly answersByLevel = new Array<number>(LEVEL_COUNT).fill(0);
 
-  /** By slots, until a level changes. @internal */
-  private readonly bestBusy = new Map<number, number>();
+  /** Best occupancies by slots and slack; cleared when a level changes. @internal */
+  private readonly bestOccupancies = new Map<number, number>();
 
   /** @internal */
-  private slowdownWeight = SLOWDOWN_WEIGHT;
+  private slowdownWeight = INITIAL_SLOWDOWN_WEIGHT;
 
   /** @internal */
-  private coldSlowdown = COLD_SLOWDOWN;
+  private coldSlowdown = INITIAL_COLD_SLOWDOWN;
 
-  /** What `takeNews` gave last. @internal */
-  private told: LearntCurve;
+  /** What `takeChange` returned last. @internal */
+  private lastReported: SlowdownEstimates;
 
-  /** Answers that it has learnt from. */
+  /** Number of answers that the curve has learnt from. */
   answers = 0;
 
-  /** @param guess - What is thought of targets that nothing is known of. */
-  constructor({ kneeShare, kneeSlowdown }: CurveGuess = FIRST_GUESS) {
-    this.levels = Array.from({ length: LEVELS }, (_, i) =>
-      (i + 1) / LEVELS > kneeShare ? kneeSlowdown : 1,
+  /** @param initial - Estimate that holds until answers have been recorded. */
+  constructor({ kneeShare, kneeSlowdown }: InitialSlowdown = DEFAULT_INITIAL_SLOWDOWN) {
+    this.levels = Array.from({ length: LEVEL_COUNT }, (_, i) =>
+      (i + 1) / LEVEL_COUNT > kneeShare ? kneeSlowdown : 1,
     );
-    this.told = this.learnt;
+    this.lastReported = this.estimates;
   }
 
   /**
-   * How many times as long work takes that starts as one of so many.
-   * @param busy - Requests that run there with it.
+   * Returns the factor by which work takes longer at an occupancy.
+   * @param occupied - Occupied slots, including the one of the request.
    * @param slots - Slots of the target.
    */
-  getFactor(busy: number, slots: number): number {
+  getLoadFactor(occupied: number, slots: number): number {
     let factor = 1;
-    for (let level = getLevel(busy, slots); level >= 0; level--) {
+    for (let level = getLevelIndex(occupied, slots); level >= 0; level--) {
       factor = Math.max(factor, this.levels[level]);
     }
     return factor;
   }
 
   /**
-   * How many times as long work takes where a slowdown was read.
-   * @param slowdown - As it was read; 1 is as usual.
+   * Returns the factor by which work takes longer at a slowdown that was read.
+   * @param slowdown - As read; 1 is normal.
    */
-  getSlowFactor(slowdown: number): number {
+  getSlowdownFactor(slowdown: number): number {
     return Math.max(0.5, 1 + (slowdown - 1) * this.slowdownWeight);
   }
 
-  /** How many times as long work of a cold target takes. */
+  /** Returns the factor by which work takes longer at a cold target. */
   getColdFactor(): number {
     return this.coldSlowdown;
   }
 
   /**
-   * With how many requests at a time a target does nearly most in time. With more of them each takes
-   * longer, so that more of them are late; what is gained by a further one is lost with the others.
+   * Returns the number of occupied slots with which a target completes nearly the most work in
+   * time. Above it, each request takes longer and more of them are late, which outweighs the
+   * additional slot.
    * @param slots - Slots of the target.
-   * @param slack - Time within which an answer is wanted, over the work of the request.
+   * @param slack - Time allowed for the answer, as a multiple of the request's work time.
    */
-  getBestBusy(slots: number, slack: number): number {
+  getBestOccupancy(slots: number, slack: number): number {
     const key =
-      slots * SLACK_STEPS * SLACK_MOST + Math.round(Math.min(SLACK_MOST, slack) * SLACK_STEPS);
-    let best = this.bestBusy.get(key);
+      slots * SLACK_STEPS * MAX_SLACK + Math.round(Math.min(MAX_SLACK, slack) * SLACK_STEPS);
+    let best = this.bestOccupancies.get(key);
     if (best === undefined) {
-      best = this.findBestBusy(slots, slack);
-      this.bestBusy.set(key, best);
+      best = this.computeBestOccupancy(slots, slack);
+      this.bestOccupancies.set(key, best);
     }
     return best;
   }
 
   /** @internal */
-  private findBestBusy(slots: number, slack: number): number {
-    const done = Array.from({ length: slots }, (_, i) => {
-      const factor = this.getFactor(i + 1, slots);
-      return ((i + 1) / factor) * getInTimeShare(slack / factor);
+  private computeBestOccupancy(slots: number, slack: number): number {
+    const throughputs = Array.from({ length: slots }, (_, i) => {
+      const loadFactor = this.getLoadFactor(i + 1, slots);
+      return ((i + 1) / loadFactor) * getOnTimeShare(slack / loadFactor);
     });
-    const most = Math.max(...done);
-    return 1 + done.findIndex((each) => each >= most * NEARLY_MOST);
+    const maxThroughput = Math.max(...throughputs);
+    return 1 + throughputs.findIndex((each) => each >= maxThroughput * NEAR_MAX_SHARE);
   }
 
   /**
    * Learns from an answer.
-   * @param basis - What was known as its request was sent.
-   * @param ratio - Time taken over the work that the request was thought to be.
+   * @param load - Load of the target when the request was sent.
+   * @param ratio - Observed time as a multiple of the request's estimated work time.
    */
-  note(basis: SendingBasis, ratio: number): void {
-    const { busy, slots, slowdown, isCold, ahead } = basis;
-    // Time in a queue tells nothing of the work itself.
-    if (ahead > 0 || busy > slots) return;
+  recordAnswer(load: LoadSnapshot, ratio: number): void {
+    const { occupied, slots, slowdown, isCold, queuedAhead } = load;
+    // Time in a queue says nothing about the work itself.
+    if (queuedAhead > 0 || occupied > slots) return;
     this.answers += 1;
-    const factor = this.getFactor(busy, slots);
-    if (isCold) this.noteCold(ratio / factor / this.getSlowFactor(slowdown));
-    else if (slowdown >= TELLING_SLOWDOWN) this.noteSlow(ratio / factor, slowdown);
-    else this.noteLevel(getLevel(busy, slots), ratio / this.getSlowFactor(slowdown));
+    const loadFactor = this.getLoadFactor(occupied, slots);
+    if (isCold) this.updateColdSlowdown(ratio / loadFactor / this.getSlowdownFactor(slowdown));
+    else if (slowdown >= MIN_SAMPLED_SLOWDOWN) this.updateWeight(ratio / loadFactor, slowdown);
+    else this.updateLevel(getLevelIndex(occupied, slots), ratio / this.getSlowdownFactor(slowdown));
   }
 
-  /** What is known now. */
-  get learnt(): LearntCurve {
+  /** Current estimates. */
+  get estimates(): SlowdownEstimates {
     const { levels, slowdownWeight, coldSlowdown, answers } = this;
     return { levels: [...levels], slowdownWeight, coldSlowdown, answers };
   }
 
-  /** What is known now, if it has changed by much since this was last asked; else undefined. */
-  takeNews(): LearntCurve | undefined {
-    const { told, learnt } = this;
-    const hasNews =
-      learnt.levels.some((level, i) => isFarOff(level, told.levels[i])) ||
-      isFarOff(learnt.slowdownWeight, told.slowdownWeight) ||
-      isFarOff(learnt.coldSlowdown, told.coldSlowdown);
-    if (!hasNews) return undefined;
-    this.told = learnt;
-    return learnt;
+  /** Returns the current estimates if they have changed considerably since the last report. */
+  takeChange(): SlowdownEstimates | undefined {
+    const { lastReported, estimates } = this;
+    const hasChanged =
+      estimates.levels.some((level, i) => hasChangedMuch(level, lastReported.levels[i])) ||
+      hasChangedMuch(estimates.slowdownWeight, lastReported.slowdownWeight) ||
+      hasChangedMuch(estimates.coldSlowdown, lastReported.coldSlowdown);
+    if (!hasChanged) return undefined;
+    this.lastReported = estimates;
+    return estimates;
   }
 
   /** @internal */
-  private noteCold(ratio: number): void {
-    const bounded = clamp(ratio, this.coldSlowdown / MOST_FACTOR, this.coldSlowdown * MOST_FACTOR);
-    this.coldSlowdown += WEIGHT * (bounded - this.coldSlowdown);
-    this.coldSlowdown = clamp(this.coldSlowdown, 1, COLD_MOST);
+  private updateColdSlowdown(ratio: number): void {
+    const bounded = clamp(
+      ratio,
+      this.coldSlowdown / MAX_DEVIATION_FACTOR,
+      this.coldSlowdown * MAX_DEVIATION_FACTOR,
+    );
+    this.coldSlowdown += AVERAGE_WEIGHT * (bounded - this.coldSlowdown);
+    this.coldSlowdown = clamp(this.coldSlowdown, 1, MAX_COLD_SLOWDOWN);
   }
 
   /** @internal */
-  private noteSlow(ratio: number, slowdown: number): void {
-    const weight = clamp((ratio - 1) / (slowdown - 1), 0, SLOWDOWN_WEIGHT_MOST);
-    this.slowdownWeight += WEIGHT * (weight - this.slowdownWeight);
+  private updateWeight(ratio: number, slowdown: number): void {
+    const weight = clamp((ratio - 1) / (slowdown - 1), 0, MAX_SLOWDOWN_WEIGHT);
+    this.slowdownWeight += AVERAGE_WEIGHT * (weight - this.slowdownWeight);
   }
 
   /** The emptiest level is what the others are measured by. @internal */
-  private noteLevel(level: number, ratio: number): void {
-    this.counts[level] += 1;
-    const step = Math.max(LEVEL_STEP, LEVEL_FIRST_STEP / this.counts[level]);
-    const moved = this.levels[level] * (ratio > this.levels[level] ? 1 + step : 1 / (1 + step));
-    this.levels[level] = clamp(moved, 1, LEVEL_MOST);
-    this.bestBusy.clear();
+  private updateLevel(level: number, ratio: number): void {
+    this.answersByLevel[level] += 1;
+    const step = Math.max(LEVEL_MIN_STEP, LEVEL_INITIAL_STEP / this.answersByLevel[level]);
+    const adjusted = this.levels[level] * (ratio > this.levels[level] ? 1 + step : 1 / (1 + step));
+    this.levels[level] = clamp(adjusted, 1, MAX_LEVEL);
+    this.bestOccupancies.clear();
   }
 }
--- a/src/balancing/ServiceVersions.ts
+++ b/src/balancing/ServiceVersions.ts
@@ -4,35 +4,38 @@
 import type { TargetRecord } from './TargetRecord.js';
 
 /**
- * In a trial a few new targets get so many times the load that all of them would have later on: some
+ * Load of a target in a trial, as a multiple of the load if all new targets were in use: some
  * versions fail, or are slow, only under load.
  */
-const TRIAL_LOAD = 2.5;
+const TRIAL_LOAD_FACTOR = 2.5;
 
-/** New targets of a trial at least: one that is ill by itself must not be all there is. */
-const LEAST_TRIAL_TARGETS = 3;
+/**
+ * Minimum number of new targets in a trial, so that one faulty target is not mistaken for a bad
+ * version.
+ */
+const MIN_TRIAL_TARGETS = 3;
 
-/** What this VM goes by for one running order. */
+/** State of one rollout order at this VM. */
 export interface ServiceRollout {
   order: RolloutOrder;
-  /** When this VM first knew of the order; monotonic milliseconds. */
+  /** When this VM first read the order; monotonic milliseconds. */
   readonly seenAt: number;
   guidance: RolloutGuidance | undefined;
-  /** Without further word the guidance holds until then; monotonic milliseconds. */
+  /** When the guidance expires unless it is renewed; monotonic milliseconds. */
   guidedUntil: number;
-  /** Whether anyone has condemned the version; never taken back. */
+  /** Whether a coordinator has found the version bad; never reset. */
   isStopped: boolean;
   readonly evidence: VersionEvidence;
-  /** Ids of the new targets in the order in which all VMs take them into use. */
+  /** Ids of the new targets in the order in which all VMs start to use them. */
   newTargets: readonly string[];
 }
 
-/** How requests of a service are to be dealt out between versions. */
+/** How requests of a service are divided between its versions. */
 export type VersionStage = RolloutPhase | 'paused' | 'completed';
 
 /**
- * How far the rollout is for this VM. One that no longer hears of it pauses: nothing more goes to the
- * new version, since it may have been condemned meanwhile.
+ * Returns the stage of a rollout at this VM. A rollout without current guidance is paused: nothing
+ * more is sent to the new version, since it may have been found bad in the meantime.
  * @param rollout - The rollout.
  * @param now - Monotonic milliseconds.
  */
@@ -45,63 +48,67 @@
   return guidance === undefined || now > guidedUntil ? 'paused' : guidance.phase;
 }
 
-/** Which versions of a service requests may go to, as far as this VM knows. */
+/** Tracks rollout orders, and thereby which versions of a service requests may be sent to. */
 export class ServiceVersions {
-  /** Orders by service. */
+  /** Rollouts by service. */
   readonly rollouts = new Map<ServiceName, ServiceRollout>();
 
-  /** Versions that were taken back, as `service|version`; they stay so if the order is removed. */
-  readonly barred = new Set<string>();
+  /**
+   * Versions that were rolled back, as `service|version`; they remain here if the order is removed.
+   */
+  readonly rolledBackVersions = new Set<string>();
 
-  /** Whether the orders were read, so that a version without one is known to have none. */
-  isKnown = false;
+  /**
+   * Whether the orders have been read; before, a version may have an order that is not known yet.
+   */
+  hasReadOrders = false;
 
-  /** @param isUsed - Whether operators order rollouts here at all. */
-  constructor(readonly isUsed: boolean) {}
+  /** @param isEnabled - Whether rollouts are used. */
+  constructor(readonly isEnabled: boolean) {}
 
   /**
-   * Takes the orders that there are now.
-   * @param orders - All of them.
+   * Applies the complete list of current orders.
+   * @param orders - All orders.
    * @param now - Monotonic milliseconds.
    * @returns Rollouts that are new, or whose state has changed.
    */
-  take(orders: readonly RolloutOrder[], now: number): ServiceRollout[] {
-    this.isKnown = true;
+  applyOrders(orders: readonly RolloutOrder[], now: number): ServiceRollout[] {
+    this.hasReadOrders = true;
     const changed: ServiceRollout[] = [];
     const services = new Set(orders.map(({ service }) => service));
     for (const service of this.rollouts.keys()) {
       if (!services.has(service)) this.rollouts.delete(service);
     }
     for (const order of orders) {
-      const known = this.rollouts.get(order.service);
-      if (known?.order.id === order.id) {
-        if (known.order.state !== order.state) changed.push(known);
-        known.order = order;
-      } else changed.push(this.begin(order, now));
+      const existing = this.rollouts.get(order.service);
+      if (existing?.order.id === order.id) {
+        if (existing.order.state !== order.state) changed.push(existing);
+        existing.order = order;
+      } else changed.push(this.startRollout(order, now));
       const version = `${order.service}|${order.version}`;
-      if (order.state === 'rolledBack') this.barred.add(version);
-      else this.barred.delete(version);
+      if (order.state === 'rolledBack') this.rolledBackVersions.add(version);
+      else this.rolledBackVersions.delete(version);
     }
     return changed;
   }
 
   /**
-   * Puts a service's new targets into the order in which all VMs take them into use.
+   * Sorts a service's new targets into the order in which all VMs start to use them.
    * @param service - The service.
    * @param records - Its targets.
    */
-  sortNew(service: ServiceName, records: readonly TargetRecord[]): void {
+  sortNewTargets(service: ServiceName, records: readonly TargetRecord[]): void {
     const rollout = this.rollouts.get(service);
     if (rollout === undefined) return;
     const { version } = rollout.order;
     rollout.newTargets = records
       .filter(({ entry }) => entry.version === version && !entry.isDraining)
-      .sort((a, b) => a.commonRank - b.commonRank)
+      .sort((a, b) => a.idHash - b.idHash)
       .map(({ entry }) => entry.id);
   }
 
   /** @internal */
-  private begin(order: RolloutOrder, now: number): ServiceRollout {
+  private startRollout(order: RolloutOrder, now: number): ServiceRollout {
     const rollout: ServiceRollout = {
       order,
       seenAt: now,
@@ -116,24 +123,24 @@
   }
 }
 
-/** How many of the new targets are in use at a share of the requests. */
-function countInUse({ phase, share }: RolloutGuidance, targets: number): number {
+/** Returns how many of the new targets are in use at a share of the requests. */
+function countTargetsInUse({ phase, share }: RolloutGuidance, targets: number): number {
   if (phase === 'moved') return targets;
-  const load = phase === 'trial' ? TRIAL_LOAD : 1;
-  return Math.max(LEAST_TRIAL_TARGETS, Math.ceil((share * targets) / load));
+  const loadFactor = phase === 'trial' ? TRIAL_LOAD_FACTOR : 1;
+  return Math.max(MIN_TRIAL_TARGETS, Math.ceil((share * targets) / loadFactor));
 }
 
 /**
- * New targets that requests may be tried on now.
- * @param rollout - The rollout; it has guidance.
+ * Returns the ids of the new targets that requests may be sent to now.
+ * @param rollout - The rollout.
  */
 export function getTargetsInUse({ guidance, newTargets }: ServiceRollout): ReadonlySet<string> {
   if (guidance === undefined) return new Set();
-  return new Set(newTargets.slice(0, countInUse(guidance, newTargets.length)));
+  return new Set(newTargets.slice(0, countTargetsInUse(guidance, newTargets.length)));
 }
 
 /**
- * Share of a route's requests that are tried on the new version.
+ * Returns the share of a route's requests that are sent to the new version.
  * @param rollout - The rollout.
  * @param route - Name of the route.
  */
--- a/src/balancing/TargetRecord.ts
+++ b/src/balancing/TargetRecord.ts
@@ -1,102 +1,104 @@
 import { hashText } from '../core/hash.js';
 import type { RequestId } from '../core/model/index.js';
-import type { LoadReading, TargetEntry } from './model.js';
+import type { LoadReading, TargetRegistration } from './model.js';
 
-/** Failures and slowness are forgotten by half in so long, in milliseconds. */
-const FORGET_HALF_MS = 3_000;
+/** Half-life of the failure and slowness scores, in milliseconds. */
+const SCORE_HALF_LIFE_MS = 3_000;
 
 /** Weight of one outcome in the moving averages. */
 const FAILURE_WEIGHT = 0.25;
 const SLOWNESS_WEIGHT = 0.3;
 
-const SLOWNESS_LEAST = 0.7;
-const SLOWNESS_MOST = 12;
+const MIN_SLOWNESS = 0.7;
+const MAX_SLOWNESS = 12;
 
-/** What this entry VM knows of one target. */
+/** What this entry VM knows about one target. */
 export interface TargetRecord {
-  entry: TargetEntry;
-  /** Drawn from its id, the same at all entry VMs. */
-  readonly commonRank: number;
-  /** Left alone before this time, since its version is new; monotonic milliseconds. */
-  heldUntil: number;
+  entry: TargetRegistration;
+  /** Hash of its id, the same at all entry VMs. */
+  readonly idHash: number;
+  /** No request is sent before this time, since its version is new; monotonic milliseconds. */
+  versionHeldUntil: number;
   reading: LoadReading | undefined;
-  /** Own requests sent since the reading was taken. */
+  /** Requests that this VM has sent since the reading was taken. */
   sentSinceReading: number;
-  /** Own requests that are there now. */
+  /** Requests of this VM that the target has not answered yet. */
   outstanding: number;
-  /** Until when it is cold; monotonic milliseconds. */
+  /** When it stops being cold; monotonic milliseconds. */
   coldUntil: number;
-  /** No request is sent, and no probe, before this time: it took no connection. */
+  /**
+   * No request or probe is sent before this time, since it was unreachable; monotonic milliseconds.
+   */
   deadUntil: number;
-  /** Times in a row that it took no connection or answered no probe. */
-  deadTimes: number;
-  /** Moving average of failures, 0 to 1, as of `scoredAt`. */
+  /** How often in a row it accepted no connection or did not answer a probe. */
+  deadCount: number;
+  /** Moving average of failures, 0 to 1, as of `scoresUpdatedAt`. */
   failures: number;
-  /** How much longer it takes than its readings say, as of `scoredAt`; 1 is as expected. */
+  /** Moving average of observed over expected time, as of `scoresUpdatedAt`; 1 is as expected. */
   slowness: number;
-  scoredAt: number;
-  /** When the probe that is out was sent; undefined if none is. */
+  scoresUpdatedAt: number;
+  /** When the probe in flight was sent; undefined if there is none. */
   probeSentAt: number | undefined;
-  /** Requests that wait for a probe of it, or for a permit to send to it. */
+  /** Requests that wait for the probe's result, or for a permit to send to the target. */
   readonly probeWaiters: Set<RequestId>;
 }
 
 /**
- * Makes the record of a target that nothing is known of yet.
+ * Creates the record of a newly discovered target.
  * @param entry - What the target registered.
  * @param now - Monotonic milliseconds.
  */
-export function createTargetRecord(entry: TargetEntry, now: number): TargetRecord {
+export function createTargetRecord(entry: TargetRegistration, now: number): TargetRecord {
   return {
     entry,
-    commonRank: hashText(entry.id),
-    heldUntil: 0,
+    idHash: hashText(entry.id),
+    versionHeldUntil: 0,
     reading: undefined,
     sentSinceReading: 0,
     outstanding: 0,
     coldUntil: entry.coldMs > 0 ? now + entry.coldMs : 0,
     deadUntil: 0,
-    deadTimes: 0,
+    deadCount: 0,
     failures: 0,
     slowness: 1,
-    scoredAt: now,
+    scoresUpdatedAt: now,
     probeSentAt: undefined,
     probeWaiters: new Set(),
   };
 }
 
-function forget(record: TargetRecord, now: number): void {
-  const kept = 0.5 ** (Math.max(0, now - record.scoredAt) / FORGET_HALF_MS);
-  record.failures *= kept;
-  record.slowness = 1 + (record.slowness - 1) * kept;
-  record.scoredAt = now;
+function decayScores(record: TargetRecord, now: number): void {
+  const decay = 0.5 ** (Math.max(0, now - record.scoresUpdatedAt) / SCORE_HALF_LIFE_MS);
+  record.failures *= decay;
+  record.slowness = 1 + (record.slowness - 1) * decay;
+  record.scoresUpdatedAt = now;
 }
 
 /**
- * Notes how a sending ended.
+ * Records the outcome of an attempt.
  * @param record - The target.
- * @param hasFailed - Whether the answer was of no use, or none came.
+ * @param hasFailed - Whether there was no answer, or no usable one.
  * @param now - Monotonic milliseconds.
  */
-export function noteOutcome(record: TargetRecord, hasFailed: boolean, now: number): void {
-  forget(record, now);
+export function recordOutcome(record: TargetRecord, hasFailed: boolean, now: number): void {
+  decayScores(record, now);
   record.failures += FAILURE_WEIGHT * ((hasFailed ? 1 : 0) - record.failures);
 }
 
 /**
- * Notes how long an answer took, or is taking so far, against what was expected of it.
+ * Records how long an answer took, or has taken so far, compared with the expected time.
  * @param record - The target.
- * @param ratio - Time taken over time expected.
+ * @param ratio - Observed time as a multiple of the expected time.
  * @param now - Monotonic milliseconds.
  */
-export function noteSlowness(record: TargetRecord, ratio: number, now: number): void {
-  forget(record, now);
-  const bounded = Math.min(SLOWNESS_MOST, Math.max(SLOWNESS_LEAST, ratio));
+export function recordSlowness(record: TargetRecord, ratio: number, now: number): void {
+  decayScores(record, now);
+  const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ratio));
   record.slowness += SLOWNESS_WEIGHT * (bounded - record.slowness);
 }
 
 /**
- * How a target's record stands now, with what is old forgotten.
+ * Returns a target's scores, decayed to the current time.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
@@ -104,6 +106,6 @@
   record: TargetRecord,
   now: number,
 ): { readonly failures: number; readonly slowness: number } {
-  const kept = 0.5 ** (Math.max(0, now - record.scoredAt) / FORGET_HALF_MS);
-  return { failures: record.failures * kept, slowness: 1 + (record.slowness - 1) * kept };
+  const decay = 0.5 ** (Math.max(0, now - record.scoresUpdatedAt) / SCORE_HALF_LIFE_MS);
+  return { failures: record.failures * decay, slowness: 1 + (record.slowness - 1) * decay };
 }
--- a/src/balancing/WorkTimes.ts
+++ b/src/balancing/WorkTimes.ts
@@ -1,49 +1,53 @@
 import type { Route } from './model.js';
-import { WORK_OF_OBJECTIVE } from './settings.js';
+import { INITIAL_WORK_SHARE } from './settings.js';
 
-/** Weight of one answer in the moving average at the least, and while few are known at the most. */
-const WEIGHT = 0.03;
-const FIRST_WEIGHT = 0.2;
+/** Weight of one answer in the moving average: the minimum, and the weight of the first answer. */
+const MIN_WEIGHT = 0.03;
+const INITIAL_WEIGHT = 0.2;
 
 /**
- * The same for answers of targets that were more than half full: how much they had slowed down is
- * itself only learnt, and both would be moved by one and the same thing.
+ * Weight of an answer from a target that was more than half full. It is lower since the slowdown of
+ * such targets is itself an estimate, and the same deviation would otherwise change both.
  */
 const BUSY_WEIGHT = 0.01;
 
-/** One answer changes what is known by no more than this factor either way. */
-const MOST_FACTOR = 3;
+/** Ratio of observed to expected time, either way, beyond which answers are clipped. */
+const MAX_RATIO = 3;
 
-interface Known {
+interface RouteWorkTime {
   workMs: number;
   answers: number;
 }
 
-/** How long the work of each route's requests takes on an idle target with its usual speed. */
+/**
+ * Estimates the work time of each route: how long one request takes on an idle target at normal
+ * speed.
+ */
 export class WorkTimes {
-  /** By route. @internal */
-  private readonly known = new Map<string, Known>();
+  /** Estimates by name of the route. @internal */
+  private readonly byRoute = new Map<string, RouteWorkTime>();
 
   /**
-   * @param route - Whose requests.
-   * @returns Expected work, in milliseconds.
+   * Returns the estimated work time, in milliseconds; before the first answer a share of the
+   * objective.
+   * @param route - The route.
    */
   get(route: Route): number {
-    return this.known.get(route.name)?.workMs ?? route.objectiveMs * WORK_OF_OBJECTIVE;
+    return this.byRoute.get(route.name)?.workMs ?? route.objectiveMs * INITIAL_WORK_SHARE;
   }
 
   /**
    * Learns from an answer.
    * @param route - The request's route.
-   * @param ratio - Time taken over time expected when it was sent.
-   * @param isBusy - Whether more than half of the target's slots were filled.
+   * @param ratio - Observed time as a multiple of the time expected when the request was sent.
+   * @param isBusy - Whether more than half of the target's slots were occupied.
    */
-  note(route: Route, ratio: number, isBusy: boolean): void {
-    const known = this.known.get(route.name) ?? { workMs: this.get(route), answers: 0 };
-    this.known.set(route.name, known);
-    known.answers += 1;
-    const factor = Math.min(MOST_FACTOR, Math.max(1 / MOST_FACTOR, ratio));
-    const weight = isBusy ? BUSY_WEIGHT : Math.max(WEIGHT, FIRST_WEIGHT / known.answers);
-    known.workMs *= 1 + weight * (factor - 1);
+  add(route: Route, ratio: number, isBusy: boolean): void {
+    const entry = this.byRoute.get(route.name) ?? { workMs: this.get(route), answers: 0 };
+    this.byRoute.set(route.name, entry);
+    entry.answers += 1;
+    const boundedRatio = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
+    const weight = isBusy ? BUSY_WEIGHT : Math.max(MIN_WEIGHT, INITIAL_WEIGHT / entry.answers);
+    entry.workMs *= 1 + weight * (boundedRatio - 1);
   }
 }
--- a/src/balancing/admission.ts
+++ b/src/balancing/admission.ts
@@ -1,48 +1,57 @@
 import type { Candidate } from './candidates.js';
-import type { Journey } from './Journey.js';
-import { GOOD_SLOWDOWN, LAST_SLOTS_AFTER_MS, LATE_HOLD_MS, LATE_UNHEARD_MS } from './settings.js';
+import type { PendingRequest } from './PendingRequest.js';
+import {
+  MAX_NORMAL_SLOWDOWN,
+  LAST_SLOTS_MIN_WAIT_MS,
+  LATE_MAX_WAIT_MS,
+  LATE_MAX_WAIT_UNPROBED_MS,
+} from './settings.js';
 import type { TargetRecord } from './TargetRecord.js';
 
 /**
- * When a request's objective can't be met any more; monotonic milliseconds.
- * @param journey - The request.
- * @param workMs - Work that it is, in milliseconds.
+ * Returns the latest start of work with which a request meets its objective; monotonic
+ * milliseconds.
+ * @param pending - The request.
+ * @param workMs - Estimated work time of the request, in milliseconds.
  */
-export function getLateAt(journey: Journey, workMs: number): number {
-  return Math.max(journey.arrivedAt, journey.dueAt - workMs);
+export function getLatestStartAt(pending: PendingRequest, workMs: number): number {
+  return Math.max(pending.arrivedAt, pending.dueAt - workMs);
 }
 
 /**
- * Whether a request may go to a target now, or rather waits for a better one.
+ * Whether a request may be sent to a target now, or has to wait for a better one.
  *
- * This answers to load that comes in bursts, or that a service's targets bear only just. Work that
- * starts on a target's last slots takes 1.7 times as long, so that a target with six slots gets less
- * done with all of them full than with four; requests in targets' own queues then all miss their
- * objective, and the service stays so for long after the burst. So a request goes only where it
- * meets its objective without making the target slower for the next; one that misses it anyway takes
- * what the others leave.
- * @param journey - The request.
- * @param candidate - The target, with what is expected there.
- * @param workMs - Work that the request is, in milliseconds.
+ * This rule protects targets from overload by bursts, or by steady load close to their capacity.
+ * Work that starts on a target's last slots takes 1.7 times as long, so that a target with six
+ * slots does less with all of them occupied than with four. Requests then miss their objective in
+ * the targets' own queues, and the service stays overloaded long after the burst. A request is
+ * therefore sent only where it meets its objective without slowing the target down for the next
+ * one. A request that misses its objective anyway may use only the slots that are left over.
+ * @param pending - The request.
+ * @param candidate - The target, with its estimate.
+ * @param workMs - Estimated work time of the request, in milliseconds.
  * @param now - Monotonic milliseconds.
  */
 export function isAdmitted(
-  journey: Journey,
-  { record, expected }: Pick<Candidate, 'record' | 'expected'>,
+  pending: PendingRequest,
+  { record, estimate }: Pick<Candidate, 'record' | 'estimate'>,
   workMs: number,
   now: number,
 ): boolean {
-  const { place, likelyMs, isRoomy } = expected;
-  if (place === 'queued') return false;
-  const lateMs = now - getLateAt(journey, workMs);
-  const hasWaited = now - journey.arrivedAt >= LAST_SLOTS_AFTER_MS;
-  const isOpen = place === 'free' || hasWaited;
-  if (lateMs < 0) return isOpen && now + likelyMs <= journey.dueAt;
-  return isRoomy && (record.reading?.slowdown ?? 1) <= GOOD_SLOWDOWN;
+  const { slot, adjustedMs, hasSpareSlots } = estimate;
+  if (slot === 'queued') return false;
+  const lateMs = now - getLatestStartAt(pending, workMs);
+  const hasWaitedForBetter = now - pending.arrivedAt >= LAST_SLOTS_MIN_WAIT_MS;
+  const canUseSlot = slot === 'free' || hasWaitedForBetter;
+  if (lateMs < 0) return canUseSlot && now + adjustedMs <= pending.dueAt;
+  return hasSpareSlots && (record.reading?.slowdown ?? 1) <= MAX_NORMAL_SLOWDOWN;
 }
 
-/** Whether a target has told its load since the request came, or none is left that could. */
-function hasHeard({ arrivedAt }: Journey, targets: readonly TargetRecord[]): boolean {
+/** Whether a target has reported its load since the request arrived, or there is no target left. */
+function hasHeardFromTarget(
+  { arrivedAt }: PendingRequest,
+  targets: readonly TargetRecord[],
+): boolean {
   return (
     targets.length === 0 ||
     targets.some(({ reading }) => reading !== undefined && reading.at >= arrivedAt)
@@ -50,23 +59,26 @@
 }
 
 /**
- * Whether a request has looked for a target for so long that its caller is better told to come back.
+ * Whether a request has waited so long for a target that its caller should be told to retry later.
  *
- * While no target has answered since it came, nothing says that there is no room: just after a start
- * a VM opens all its connections at once, and answers take longer than a round. Those who were late
- * already were refused for that, by VMs whose targets were idle.
- * @param journey - The request.
- * @param targets - Those that it may go to.
- * @param workMs - Work that it is, in milliseconds.
+ * As long as no target has answered since the request arrived, it is unknown whether there are free
+ * slots: just after its start a VM opens all its connections at once, and answers take longer than
+ * a probe round. Late requests would then be refused although the targets are idle, so they may
+ * wait for `LATE_MAX_WAIT_UNPROBED_MS`.
+ * @param pending - The request.
+ * @param targets - Targets that it may be sent to.
+ * @param workMs - Estimated work time of the request, in milliseconds.
  * @param now - Monotonic milliseconds.
  */
-export function isHopeless(
-  journey: Journey,
+export function shouldGiveUp(
+  pending: PendingRequest,
   targets: readonly TargetRecord[],
   workMs: number,
   now: number,
 ): boolean {
-  if (now + workMs > journey.deadlineAt) return true;
-  const holdMs = hasHeard(journey, targets) ? LATE_HOLD_MS : LATE_UNHEARD_MS;
-  return now - getLateAt(journey, workMs) > holdMs;
+  if (now + workMs > pending.deadlineAt) return true;
+  const maxWaitMs = hasHeardFromTarget(pending, targets)
+    ? LATE_MAX_WAIT_MS
+    : LATE_MAX_WAIT_UNPROBED_MS;
+  return now - getLatestStartAt(pending, workMs) > maxWaitMs;
 }
--- a/src/balancing/candidates.ts
+++ b/src/balancing/candidates.ts
@@ -1,120 +1,126 @@
 import type { ZoneName } from '../core/model/index.js';
 import type { BalancerContext, BalancerState } from './BalancerState.js';
-import { getCurve } from './BalancerState.js';
+import { getServiceCurve } from './BalancerState.js';
 import { isAdmitted } from './admission.js';
 import { getColdOwners } from './ColdAllowance.js';
-import type { Expectation } from './expectedTime.js';
-import { getExpectation } from './expectedTime.js';
-import type { Journey } from './Journey.js';
-import { maySend, isExhausted } from './limits.js';
-import { GOOD_SLOWDOWN, READING_FRESH_MS } from './settings.js';
+import type { ResponseEstimate } from './expectedTime.js';
+import { estimateResponse } from './expectedTime.js';
+import type { PendingRequest } from './PendingRequest.js';
+import { isWithinLimit, isLimitExhausted } from './limits.js';
+import { MAX_NORMAL_SLOWDOWN, FRESH_READING_MAX_AGE_MS } from './settings.js';
 import type { TargetRecord } from './TargetRecord.js';
 import { getScores } from './TargetRecord.js';
-import { isFilling, selectVersion } from './versions.js';
+import { shouldFillTargets, selectByVersion } from './versions.js';
 
 /**
- * A target of this VM's own availability zone is probed so many times as often as another of those
- * it prefers: bytes between zones are paid for, and the way is shorter.
+ * Weight with which a target of this VM's own availability zone is sampled for probes, relative to
+ * other preferred targets: traffic between zones costs money and takes longer.
  */
-const OWN_ZONE_WEIGHT = 3;
+const OWN_ZONE_PROBE_WEIGHT = 3;
 
-/** A target whose moving average of failures is below this one counts as sound. */
-const SOUND_FAILURES = 0.1;
+/** A target is healthy only if its moving average of failures is below this. */
+const MAX_HEALTHY_FAILURES = 0.1;
 
-/** A target that failed always is drawn so many times less often, and once more, than one that did not. */
-const FAILURE_AVERSION = 8;
+/**
+ * A target that always fails is sampled with 1 / (1 + this) times the weight of one that never
+ * does.
+ */
+const FAILURE_PENALTY = 8;
 
-/** A target that a request may go to now. */
+/** A target that a request may be sent to now. */
 export interface Candidate {
   readonly record: TargetRecord;
-  readonly expected: Expectation;
-  /** Whether nothing better is worth waiting for. */
-  readonly isGood: boolean;
+  readonly estimate: ResponseEstimate;
+  /** Whether the request is sent at once instead of waiting for a better candidate. */
+  readonly isGoodEnough: boolean;
 }
 
 /**
- * Targets of a request's service that may be sent to at all, without those it was sent to already.
- * @param state - What is known.
- * @param journey - The request.
+ * Returns the targets of a request's service that it may be sent to, without those it has tried.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
  * @param now - Monotonic milliseconds.
  */
-export function getUsable(
+export function getUsableTargets(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   now: number,
 ): readonly TargetRecord[] {
-  const usable = (state.byService.get(journey.service) ?? []).filter(
+  const usable = (state.targetsByService.get(pending.service) ?? []).filter(
     (record) =>
       !record.entry.isDraining &&
       record.deadUntil <= now &&
       !state.zonesOut.has(record.entry.zone) &&
-      !journey.tried.has(record.entry.id) &&
-      !isExhausted(state, record, now),
+      !pending.triedTargets.has(record.entry.id) &&
+      !isLimitExhausted(state, record, now),
   );
-  return selectVersion(state, journey, usable, now);
+  return selectByVersion(state, pending, usable, now);
 }
 
-/** A cold target takes requests from a few entry VMs only, at a bounded rate. */
-function isBarredByCold(state: BalancerState, record: TargetRecord, now: number): boolean {
+/**
+ * Whether a cold target is closed to this VM: only its owners may send to it, at a limited rate.
+ */
+function isBlockedWhileCold(state: BalancerState, record: TargetRecord, now: number): boolean {
   if (record.coldUntil <= now) return false;
   const { id, service } = record.entry;
-  if (!getColdOwners(id, state.vms).includes(state.settings.vm)) return true;
+  if (!getColdOwners(id, state.liveVms).includes(state.settings.vm)) return true;
   const perSecond = state.services.get(service)?.coldRequestsPerSecond ?? 0;
-  return !state.cold.has(id, perSecond, now);
+  return !state.coldRate.hasToken(id, perSecond, now);
 }
 
-/** Work takes no longer on a target with some requests than on an idle one, up to the last slots. */
-function isGood(record: TargetRecord, expected: Expectation, now: number): boolean {
+/** Whether a target is healthy, warm, at normal speed, and has spare slots. */
+function isGoodTarget(record: TargetRecord, estimate: ResponseEstimate, now: number): boolean {
   const { reading } = record;
-  if (expected.place !== 'free' || reading === undefined || record.coldUntil > now) return false;
+  if (estimate.slot !== 'free' || reading === undefined || record.coldUntil > now) return false;
   const { failures, slowness } = getScores(record, now);
-  const isSound = reading.isHealthy && failures < SOUND_FAILURES && slowness < GOOD_SLOWDOWN;
-  return isSound && expected.isRoomy && reading.slowdown <= GOOD_SLOWDOWN;
+  const isSound =
+    reading.isHealthy && failures < MAX_HEALTHY_FAILURES && slowness < MAX_NORMAL_SLOWDOWN;
+  return isSound && estimate.hasSpareSlots && reading.slowdown <= MAX_NORMAL_SLOWDOWN;
 }
 
 /**
- * The best of the targets whose load was read lately and that the request may go to now.
- * @param state - What is known.
- * @param journey - The request.
- * @param context - Time and chance.
- * @param maxAgeMs - Oldest reading that counts.
+ * Returns the cheapest of the targets with a recent load reading that the request may be sent to.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param context - Clock and random source.
+ * @param maxAgeMs - Maximum age of a reading, in milliseconds.
  */
-export function findBest(
+export function findBestCandidate(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
-  maxAgeMs = READING_FRESH_MS,
+  maxAgeMs = FRESH_READING_MAX_AGE_MS,
 ): Candidate | undefined {
   const { now } = context;
-  const workMs = state.work.get(journey.route);
-  const curve = getCurve(state, journey.service);
-  const fills = isFilling(state, journey, now);
+  const workMs = state.workTimes.get(pending.route);
+  const curve = getServiceCurve(state, pending.service);
+  const shouldFill = shouldFillTargets(state, pending, now);
   let best: Candidate | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
-  for (const record of getUsable(state, journey, now)) {
+  for (const record of getUsableTargets(state, pending, now)) {
     const { reading } = record;
     if (reading === undefined || now - reading.at > maxAgeMs) continue;
-    if (isBarredByCold(state, record, now) || !maySend(state, record, now)) continue;
-    const expected = getExpectation(record, journey.route, workMs, curve, now);
-    if (!isAdmitted(journey, { record, expected }, workMs, now)) continue;
-    // Targets that look alike are told apart by chance, or all entry VMs take the same one.
-    const spread = 1 + 0.05 * context.random();
-    const cost = fills ? -expected.basis.busy * spread : expected.costMs * spread;
+    if (isBlockedWhileCold(state, record, now) || !isWithinLimit(state, record, now)) continue;
+    const estimate = estimateResponse(record, pending.route, workMs, curve, now);
+    if (!isAdmitted(pending, { record, estimate }, workMs, now)) continue;
+    // Jitter breaks ties, so that not all entry VMs choose the same target.
+    const jitter = 1 + 0.05 * context.random();
+    const cost = shouldFill ? -estimate.load.occupied * jitter : estimate.costMs * jitter;
     if (cost >= bestCost) continue;
     bestCost = cost;
-    best = { record, expected, isGood: fills || isGood(record, expected, now) };
+    best = { record, estimate, isGoodEnough: shouldFill || isGoodTarget(record, estimate, now) };
   }
   return best;
 }
 
 /**
- * Draws targets to probe, those that failed or were slow lately less often.
- * @param pool - Targets that may be sent to.
- * @param count - How many to draw.
+ * Samples targets to probe; targets that recently failed or were slow are less likely.
+ * @param pool - Targets that the request may be sent to.
+ * @param count - Number of targets to sample.
  * @param zone - Availability zone of this VM.
- * @param context - Time and chance.
+ * @param context - Clock and random source.
  */
-export function drawTargets(
+export function sampleTargets(
   pool: readonly TargetRecord[],
   count: number,
   zone: ZoneName,
@@ -124,8 +130,8 @@
   return pool
     .map((record) => {
       const { failures, slowness } = getScores(record, context.now);
-      const near = record.entry.zone === zone ? OWN_ZONE_WEIGHT : 1;
-      const weight = near / ((1 + FAILURE_AVERSION * failures) * Math.max(1, slowness));
+      const zoneWeight = record.entry.zone === zone ? OWN_ZONE_PROBE_WEIGHT : 1;
+      const weight = zoneWeight / ((1 + FAILURE_PENALTY * failures) * Math.max(1, slowness));
       return { record, key: context.random() ** (1 / weight) };
     })
     .sort((a, b) => b.key - a.key)
--- a/src/balancing/countTargets.ts
+++ b/src/balancing/countTargets.ts
@@ -3,10 +3,10 @@
 import { getLimit } from './limits.js';
 import type { TargetRecord } from './TargetRecord.js';
 
-/** How a target stands; the first that fits, in this order. */
+/** State of a target as shown in metrics; the first one that applies, in this order. */
 export type TargetStanding = 'draining' | 'zoneOut' | 'dead' | 'cold' | 'limited' | 'usable';
 
-/** All standings, in the order in which they are looked for. */
+/** All states, in the order in which they are checked. */
 export const TARGET_STANDINGS: readonly TargetStanding[] = [
   'draining',
   'zoneOut',
@@ -25,11 +25,11 @@
 }
 
 /**
- * Counts each service's targets by how they stand for this entry VM.
+ * Counts each service's targets by their state as this entry VM sees it.
  *
- * A VM that has lost its targets refuses its callers while all others serve theirs. One sees it at
- * once by comparing these figures between VMs.
- * @param state - What is known.
+ * A VM that has lost its targets refuses its callers while all other VMs serve theirs. Comparing
+ * these counts between VMs shows it at once.
+ * @param state - State of this entry VM.
  * @param now - Monotonic milliseconds.
  * @example
  * countTargets(state, clock.now()).get('horaires')?.usable;
@@ -39,8 +39,8 @@
   now: number,
 ): ReadonlyMap<ServiceName, Readonly<Record<TargetStanding, number>>> {
   const counts = new Map<ServiceName, Record<TargetStanding, number>>();
-  // A service without any target has to show as zero, not be missing.
-  for (const service of [...state.services.keys(), ...state.byService.keys()]) {
+  // A service without targets is reported as zero instead of being missing.
+  for (const service of [...state.services.keys(), ...state.targetsByService.keys()]) {
     counts.set(service, { draining: 0, zoneOut: 0, dead: 0, cold: 0, limited: 0, usable: 0 });
   }
   for (const record of state.targets.values()) {
--- a/src/balancing/effects.ts
+++ b/src/balancing/effects.ts
@@ -1,36 +1,38 @@
 import type { AttemptId, RequestId, TargetId } from '../core/model/index.js';
 import type { LimitedTarget, LimitReport, PermitAnswer, PermitAsk } from '../limits/index.js';
 
-/** Why this entry VM answers a request itself. */
-export type OwnReason =
+/** Why this entry VM answers a request locally, without an answer from a target. */
+export type LocalAnswerReason =
   /** No configuration is known yet. */
   | 'notConfigured'
   | 'noRoute'
   | 'stopping'
-  /** No target of the service may be used. */
+  /** The service has no usable target. */
   | 'noTarget'
-  /** All targets that may be used have named limits, which are used up. */
+  /** All usable targets have rate limits, and these are used up. */
   | 'limited'
-  /** Every target that could be asked is full, or would answer too late. */
+  /** All targets that were probed are full, or would answer too late. */
   | 'overloaded'
-  /** Targets rejected it, and it may not be sent again. */
+  /** Targets rejected the request, and it may not be sent to another one. */
   | 'rejected'
-  /** The same, though the target that rejected it last had free slots. */
+  /** Like `rejected`, but the target that rejected it last had free slots. */
   | 'rejectedWithRoom'
-  /** A target may have run it, and its answer is lost. */
+  /** A target may have run the request, but its answer was lost. */
   | 'targetFailed'
-  /** The route's or the caller's time is over while a target may be at work on it. */
+  /**
+   * The route's or the caller's timeout passed while a target may have been running the request.
+   */
   | 'timedOut';
 
-/** Where a request or a probe goes. */
+/** Target that a request or a probe is sent to. */
 export interface Destination {
   readonly target: TargetId;
   readonly bornAt: number;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
 }
 
-/** One line of the log. Values are numbers, texts and lists of these. */
+/** A log line. Values of its fields are numbers, strings and lists of these. */
 export interface LogEffect {
   readonly kind: 'log';
   readonly event: BalancerLogEvent;
@@ -63,7 +65,7 @@
   | 'rollout.stage'
   | 'vms.changed';
 
-/** What the process is to do. */
+/** Instructions to the process. */
 export type BalancerEffect =
   | { readonly kind: 'probe'; readonly to: Destination; readonly path: string }
   | {
@@ -71,29 +73,32 @@
       readonly request: RequestId;
       readonly attempt: AttemptId;
       readonly to: Destination;
-      /** Time that the target has, in milliseconds. */
+      /** Time until the request's deadline, in milliseconds. */
       readonly allowedMs: number;
     }
-  /** Breaks the sending off; nothing more is heard of it. */
+  /** Cancels an attempt; no event about it follows. */
   | { readonly kind: 'cancelAttempt'; readonly attempt: AttemptId }
-  /** Gives the caller the answer of a sending that has ended. */
+  /** Delivers the answer of a completed attempt to the caller. */
   | { readonly kind: 'deliver'; readonly request: RequestId; readonly attempt: AttemptId }
   | {
       readonly kind: 'answer';
       readonly request: RequestId;
       readonly status: number;
-      readonly reason: OwnReason;
-      /** When the caller may come back; set only if the request has not run and never will. */
+      readonly reason: LocalAnswerReason;
+      /**
+       * After how long the caller should retry, in milliseconds; set only if the request has not
+       * run and will not run.
+       */
       readonly retryAfterMs?: number;
     }
-  /** Asks for a `wakeDue` at this time; a later one for the same request replaces it. */
+  /** Requests a `wakeDue` event at a time; it replaces an earlier one for the same request. */
   | { readonly kind: 'wake'; readonly request: RequestId; readonly at: number }
-  /** Asks another VM for a permit to send to a limited target. */
+  /** Requests a permit to send to a limited target from another VM. */
   | { readonly kind: 'askPermit'; readonly vm: string; readonly ask: PermitAsk }
-  /** Answers such an ask. */
+  /** Answers another VM's request for a permit. */
   | { readonly kind: 'answerPermit'; readonly to: string; readonly answer: PermitAnswer }
-  /** Gives a permit back to the VM that issued it. */
+  /** Returns an unused permit to the VM that issued it. */
   | { readonly kind: 'returnPermit'; readonly vm: string; readonly target: LimitedTarget }
-  /** Tells a few other VMs what targets said of their limits. */
+  /** Tells a few other VMs which limits targets have advertised. */
   | { readonly kind: 'gossipLimits'; readonly reports: readonly LimitReport[] }
   | LogEffect;
--- a/src/balancing/endings.ts
+++ b/src/balancing/endings.ts
@@ -1,28 +1,28 @@
-import { getLateAt } from './admission.js';
+import { getLatestStartAt } from './admission.js';
 import type { BalancerContext, BalancerState } from './BalancerState.js';
-import type { BalancerEffect, OwnReason } from './effects.js';
-import type { Journey, Sending } from './Journey.js';
-import { getOpenAt, returnPermits } from './limits.js';
+import type { BalancerEffect, LocalAnswerReason } from './effects.js';
+import type { PendingRequest, PendingAttempt } from './PendingRequest.js';
+import { getPermitAvailableAt, returnPermits } from './limits.js';
 
 /**
- * A refused caller comes back after this part of what is left to it, at the least and at the most:
- * spread, so that those who were refused together don't come back together. Callers wait no longer
- * than a third; after less than `FIRST_TIMES_SPREAD` they would be taken for callers that ask first.
+ * Range of the time after which a refused caller should retry, as a share of the time it has left.
+ * It is spread so that callers refused together do not return together. The maximum is a third of
+ * the remaining time; below `FIRST_TIMEOUT_TOLERANCE` a retry would be taken for a first request.
  */
-const RETRY_LEAST_SHARE = 0.2;
-const RETRY_MOST_SHARE = 0.33;
+const RETRY_AFTER_MIN_SHARE = 0.2;
+const RETRY_AFTER_MAX_SHARE = 0.33;
 
 /**
- * When a caller may come back whose request a target with free slots has rejected, at the least and
- * at the most, in milliseconds. Some targets reject a part of what they get whatever their load is:
- * waiting makes no room where there is some, and a rejection takes no longer than the way there and
- * back. Told to come back after a fifth of its time the caller is late for certain. Spread, so that
- * callers who were rejected together don't come back together.
+ * Range of the time after which a caller should retry if a target with free slots has rejected its
+ * request, in milliseconds. Some targets reject a share of their requests whatever their load is,
+ * so waiting frees no slots, and a rejection takes no longer than the round trip. With a delay of a
+ * fifth of its time the caller would certainly be late. The range is spread so that callers
+ * rejected together do not return together.
  */
-const SOON_LEAST_MS = 5;
-const SOON_MOST_MS = 30;
+const EARLY_RETRY_MIN_MS = 5;
+const EARLY_RETRY_MAX_MS = 30;
 
-const STATUS_BY_REASON: Readonly<Record<OwnReason, number>> = {
+const STATUS_BY_REASON: Readonly<Record<LocalAnswerReason, number>> = {
   notConfigured: 503,
   noRoute: 404,
   stopping: 503,
@@ -35,8 +35,8 @@
   timedOut: 504,
 };
 
-/** Reasons that a request which has not run is refused for, so that its caller may come back. */
-const REFUSALS: ReadonlySet<OwnReason> = new Set([
+/** Reasons that mean that the request has not run, so that its caller may safely retry. */
+const REFUSAL_REASONS: ReadonlySet<LocalAnswerReason> = new Set([
   'notConfigured',
   'stopping',
   'noTarget',
@@ -47,106 +47,113 @@
 ]);
 
 /**
- * Forgets a sending.
- * @param state - What is known.
- * @param sending - The sending.
+ * Removes an attempt from the state.
+ * @param state - State of this entry VM.
+ * @param attempt - The attempt.
  */
-export function forgetSending(state: BalancerState, sending: Sending): void {
-  state.sendings.delete(sending.attempt);
-  state.journeys.get(sending.request)?.sendings.delete(sending);
-  sending.target.outstanding -= 1;
+export function removeAttempt(state: BalancerState, attempt: PendingAttempt): void {
+  state.pendingAttempts.delete(attempt.id);
+  state.pendingRequests.get(attempt.request)?.attempts.delete(attempt);
+  attempt.target.outstanding -= 1;
 }
 
 /**
- * Breaks off all that is still out for a request.
- * @param state - What is known.
- * @param journey - The request.
+ * Cancels all open attempts of a request.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
  */
-export function cancelSendings(state: BalancerState, journey: Journey): BalancerEffect[] {
-  return [...journey.sendings].map((sending) => {
-    forgetSending(state, sending);
-    return { kind: 'cancelAttempt', attempt: sending.attempt };
+export function cancelAttempts(state: BalancerState, pending: PendingRequest): BalancerEffect[] {
+  return [...pending.attempts].map((attempt) => {
+    removeAttempt(state, attempt);
+    return { kind: 'cancelAttempt', attempt: attempt.id };
   });
 }
 
 /**
- * When a refused caller may come back.
- * @param leftMs - Time that is left to it, in milliseconds.
+ * Returns after how long a refused caller should retry, in milliseconds.
+ * @param remainingMs - Time that the caller has left, in milliseconds.
  * @param chance - Uniform in [0, 1).
  */
-export function getRetryAfterMs(leftMs: number, chance: number): number {
-  const share = RETRY_LEAST_SHARE + (RETRY_MOST_SHARE - RETRY_LEAST_SHARE) * chance;
-  return Math.round(Math.max(0, leftMs) * share);
+export function getRetryAfterMs(remainingMs: number, chance: number): number {
+  const share = RETRY_AFTER_MIN_SHARE + (RETRY_AFTER_MAX_SHARE - RETRY_AFTER_MIN_SHARE) * chance;
+  return Math.round(Math.max(0, remainingMs) * share);
 }
 
-/** When the caller of a request that is refused now may come back, in milliseconds. */
-function getReturnMs(
+/**
+ * Chooses after how long the caller of a request that is refused now should retry, in milliseconds.
+ */
+function chooseRetryAfterMs(
   state: BalancerState,
-  journey: Journey,
-  reason: OwnReason,
+  pending: PendingRequest,
+  reason: LocalAnswerReason,
   { now, random }: BalancerContext,
 ): number {
-  const soonMs = SOON_LEAST_MS + (SOON_MOST_MS - SOON_LEAST_MS) * random();
-  const isInTime = now + soonMs < getLateAt(journey, state.work.get(journey.route));
-  if (reason === 'rejectedWithRoom' && isInTime) return Math.round(soonMs);
-  const usualMs = getRetryAfterMs(journey.callerLeavesAt - now, random());
+  const earlyMs = EARLY_RETRY_MIN_MS + (EARLY_RETRY_MAX_MS - EARLY_RETRY_MIN_MS) * random();
+  const canStillBeOnTime =
+    now + earlyMs < getLatestStartAt(pending, state.workTimes.get(pending.route));
+  if (reason === 'rejectedWithRoom' && canStillBeOnTime) return Math.round(earlyMs);
+  const usualMs = getRetryAfterMs(pending.callerTimeoutAt - now, random());
   if (reason !== 'limited') return usualMs;
-  return Math.max(usualMs, Math.ceil(getOpenAt(state, journey.service, now) - now));
+  return Math.max(usualMs, Math.ceil(getPermitAvailableAt(state, pending.service, now) - now));
 }
 
 /**
- * Ends a request's round of probes; later answers to them are of use to others.
- * @param state - What is known.
- * @param journey - The request.
+ * Ends a request's probe round. Results that arrive later still update the targets' readings.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
  * @param now - Monotonic milliseconds.
  */
-export function endRound(state: BalancerState, journey: Journey, now: number): BalancerEffect[] {
-  const { round } = journey;
+export function endProbeRound(
+  state: BalancerState,
+  pending: PendingRequest,
+  now: number,
+): BalancerEffect[] {
+  const { round } = pending;
   if (round === undefined) return [];
-  for (const id of round.waitingFor) state.targets.get(id)?.probeWaiters.delete(journey.request);
-  journey.round = undefined;
-  return returnPermits(state, round.permitsAsked, now);
+  for (const id of round.awaitedTargets) state.targets.get(id)?.probeWaiters.delete(pending.id);
+  pending.round = undefined;
+  return returnPermits(state, round.permitTargets, now);
 }
 
 /**
- * Answers a request in this entry VM's own name and forgets it.
- * @param state - What is known.
- * @param journey - The request.
- * @param reason - Why.
- * @param context - Time and chance.
+ * Answers a request locally, without an answer from a target, and removes it.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param reason - Reason for the answer.
+ * @param context - Clock and random source.
  */
-export function answerOwn(
+export function answerLocally(
   state: BalancerState,
-  journey: Journey,
-  reason: OwnReason,
+  pending: PendingRequest,
+  reason: LocalAnswerReason,
   context: BalancerContext,
 ): BalancerEffect[] {
-  const given = endRound(state, journey, context.now);
-  const cancelled = cancelSendings(state, journey);
-  state.journeys.delete(journey.request);
-  const isRefusal = REFUSALS.has(reason);
-  const retryAfterMs = isRefusal ? getReturnMs(state, journey, reason, context) : undefined;
-  const { request } = journey;
+  const permitReturns = endProbeRound(state, pending, context.now);
+  const cancelled = cancelAttempts(state, pending);
+  state.pendingRequests.delete(pending.id);
+  const isRefusal = REFUSAL_REASONS.has(reason);
+  const retryAfterMs = isRefusal ? chooseRetryAfterMs(state, pending, reason, context) : undefined;
+  const { id: request } = pending;
   const status = STATUS_BY_REASON[reason];
   return [
-    ...given,
+    ...permitReturns,
     ...cancelled,
     { kind: 'answer', request, status, reason, retryAfterMs },
     {
       kind: 'log',
       event: isRefusal ? 'request.refused' : 'request.failed',
       fields: {
-        id: journey.callerRequestId,
+        id: pending.callerRequestId,
         status,
         reason,
-        route: journey.route.name,
-        service: journey.service,
-        tookMs: Math.round(context.now - journey.arrivedAt),
-        objectiveMs: journey.route.objectiveMs,
-        sinceFirstMs: journey.sinceFirstMs,
-        rounds: journey.rounds,
+        route: pending.route.name,
+        service: pending.service,
+        tookMs: Math.round(context.now - pending.arrivedAt),
+        objectiveMs: pending.route.objectiveMs,
+        sinceFirstMs: pending.sinceFirstMs,
+        rounds: pending.roundCount,
         configuration: state.table?.version,
-        tried: [...journey.tried],
+        tried: [...pending.triedTargets],
         retryAfterMs,
       },
     },
@@ -154,29 +161,33 @@
 }
 
 /**
- * Ends a request that finds no target: refused if it has certainly not run, else failed.
- * @param state - What is known.
- * @param journey - The request.
- * @param reason - Why it is refused if it has not run.
- * @param context - Time and chance.
+ * Ends a request that finds no target: it is refused if it has certainly not run, else it fails.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param reason - Reason for the refusal if the request has not run.
+ * @param context - Clock and random source.
  */
-export function answerRefused(
+export function refuseOrFail(
   state: BalancerState,
-  journey: Journey,
-  reason: OwnReason,
+  pending: PendingRequest,
+  reason: LocalAnswerReason,
   context: BalancerContext,
 ): BalancerEffect[] {
-  return answerOwn(state, journey, journey.mayHaveRun ? 'targetFailed' : reason, context);
+  return answerLocally(state, pending, pending.hasPossiblyRun ? 'targetFailed' : reason, context);
 }
 
 /**
- * Forgets a request whose caller has its answer or has left.
- * @param state - What is known.
- * @param journey - The request.
+ * Removes a request whose caller has received its answer or has disconnected.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
  * @param now - Monotonic milliseconds.
  */
-export function endJourney(state: BalancerState, journey: Journey, now: number): BalancerEffect[] {
-  const given = endRound(state, journey, now);
-  state.journeys.delete(journey.request);
-  return [...given, ...cancelSendings(state, journey)];
+export function removeRequest(
+  state: BalancerState,
+  pending: PendingRequest,
+  now: number,
+): BalancerEffect[] {
+  const permitReturns = endProbeRound(state, pending, now);
+  state.pendingRequests.delete(pending.id);
+  return [...permitReturns, ...cancelAttempts(state, pending)];
 }
--- a/src/balancing/events.ts
+++ b/src/balancing/events.ts
@@ -1,159 +1,161 @@
 import type { AttemptId, RequestId, TargetId, ZoneName } from '../core/model/index.js';
 import type { LimitedTarget, LimitReport, PermitAnswer, PermitAsk } from '../limits/index.js';
 import type { RolloutGuidance, RolloutOrder } from '../rollouts/index.js';
-import type { LoadReading, NamedLimit, RoutingTable, TargetEntry } from './model.js';
+import type { LoadReading, AdvertisedLimit, RoutingTable, TargetRegistration } from './model.js';
 
-/** A caller's request is here as a whole. */
+/** A caller's request has arrived completely. */
 export interface RequestArrived {
   readonly kind: 'requestArrived';
   readonly request: RequestId;
-  /** Id that the caller gave it, by which it is found in the log; undefined if it gave none. */
+  /** Id that the caller gave the request, used to find it in the log; undefined if it gave none. */
   readonly callerRequestId: string | undefined;
   readonly host: string;
-  /** Path with its query. */
+  /** Path with its query string. */
   readonly path: string;
-  /** Time that the caller allows, in milliseconds, counted from `arrivedAt`. */
+  /** Timeout of the caller, in milliseconds after `arrivedAt`; undefined if it sent none. */
   readonly allowedMs: number | undefined;
-  /** When the request's head was read; monotonic milliseconds. */
+  /** When the request's headers were read; monotonic milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** The caller closed its connection before it had its answer. */
+/** The caller closed its connection before it received an answer. */
 export interface CallerLeft {
   readonly kind: 'callerLeft';
   readonly request: RequestId;
 }
 
-/** How a probe ended. */
-export type ProbeEnd =
+/** Result of a probe. */
+export type ProbeResult =
   | {
       readonly kind: 'answered';
       readonly reading: LoadReading;
       readonly coldMs: number;
-      readonly limit?: NamedLimit;
+      readonly limit?: AdvertisedLimit;
     }
-  /** Another target has the address, or the same one has started anew. */
+  /** Another target now has the address, or the target has restarted. */
   | { readonly kind: 'stranger' }
   | { readonly kind: 'refused' }
   | { readonly kind: 'silent' }
-  /** The connection broke, or the answer could not be read. */
+  /** The connection broke, or the answer was unreadable. */
   | { readonly kind: 'broken' };
 
 export interface ProbeEnded {
   readonly kind: 'probeEnded';
   readonly target: TargetId;
   readonly bornAt: number;
-  readonly end: ProbeEnd;
+  readonly end: ProbeResult;
 }
 
-/** How a sending ended. */
-export type AttemptEnd =
-  /** A whole answer that belongs to the request, ready to be delivered. */
+/** Result of an attempt. */
+export type AttemptResult =
+  /** A complete answer to the request, ready to be delivered. */
   | {
       readonly kind: 'answered';
       readonly status: number;
       readonly reading?: LoadReading;
-      readonly limit?: NamedLimit;
+      readonly limit?: AdvertisedLimit;
     }
-  /** The target said that it has not run the request and never will. */
-  | { readonly kind: 'rejected'; readonly reading?: LoadReading; readonly limit?: NamedLimit }
-  /** Another target has the address; it has not run the request. */
+  /** The target reported that it has not run the request and will not run it. */
+  | { readonly kind: 'rejected'; readonly reading?: LoadReading; readonly limit?: AdvertisedLimit }
+  /** Another target now has the address; it has not run the request. */
   | { readonly kind: 'misdirected' }
-  /** No connection came about, so nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | { readonly kind: 'unsent' }
-  /** The connection broke after the request was sent, before its answer was whole. */
+  /** The connection broke after the request was sent and before the answer was complete. */
   | { readonly kind: 'broken' }
-  /** The answer is not one to this request, or not as the target made it. */
+  /** The answer belongs to another request, or was corrupted on the way. */
   | { readonly kind: 'spoilt' };
 
 export interface AttemptEnded {
   readonly kind: 'attemptEnded';
   readonly attempt: AttemptId;
-  readonly end: AttemptEnd;
+  readonly end: AttemptResult;
 }
 
-/** A time that the reducer asked to be woken at has come. */
+/** The time of a request's `wake` effect has come. */
 export interface WakeDue {
   readonly kind: 'wakeDue';
   readonly request: RequestId;
 }
 
-/** A later configuration was read. */
+/** A configuration was read. */
 export interface TableRead {
   readonly kind: 'tableRead';
   readonly table: RoutingTable;
 }
 
-/** The registered targets that are known. */
+/** The list of registered targets was read. */
 export interface TargetsRead {
   readonly kind: 'targetsRead';
-  readonly targets: readonly TargetEntry[];
-  /** Whether there are more, which a process that has just started has not read yet. */
+  readonly targets: readonly TargetRegistration[];
+  /** Whether more targets are registered than this process has read since its start. */
   readonly isPartial?: boolean;
 }
 
-/** Availability zones that operators have taken out, all of them. */
+/** The list of availability zones that operators have taken out of service was read. */
 export interface ZonesOutRead {
   readonly kind: 'zonesOutRead';
   readonly zones: readonly ZoneName[];
 }
 
-/** Orders to move services to another version, all of them. */
+/** The list of orders to move services to another version was read. */
 export interface RolloutsRead {
   readonly kind: 'rolloutsRead';
   readonly orders: readonly RolloutOrder[];
 }
 
-/** A coordinator has told what to do about an order. */
+/** A coordinator has sent guidance for a rollout order. */
 export interface RolloutGuided {
   readonly kind: 'rolloutGuided';
-  /** Id of the order. */
+  /** Id of the rollout order. */
   readonly order: string;
   readonly guidance: RolloutGuidance;
-  /** How long that holds without further word; monotonic milliseconds. */
+  /** When the guidance expires unless it is renewed; monotonic milliseconds. */
   readonly until: number;
 }
 
-/** Names of the entry VMs that are up, this one among them. */
+/** Names of the entry VMs that are up, including this one. */
 export interface VmsChanged {
   readonly kind: 'vmsChanged';
   readonly vms: readonly string[];
-  /** Names of all that have announced themselves, up or not; the same as `vms` if left out. */
+  /**
+   * Names of all entry VMs that have announced themselves, up or not; by default the same as `vms`.
+   */
   readonly announced?: readonly string[];
 }
 
-/** Another VM told what targets said of their limits. */
+/** Another VM has reported the limits that targets advertised. */
 export interface LimitsReported {
   readonly kind: 'limitsReported';
   readonly reports: readonly LimitReport[];
 }
 
-/** Another VM asks for a permit to send a request to a limited target. */
+/** Another VM requests a permit to send to a limited target. */
 export interface PermitAsked {
   readonly kind: 'permitAsked';
   readonly ask: PermitAsk;
-  /** Peer address of the VM that asks. */
+  /** Peer address of the requesting VM. */
   readonly from: string;
 }
 
-/** Another VM gives a permit back. */
+/** Another VM returns a permit that it did not use. */
 export interface PermitReturned {
   readonly kind: 'permitReturned';
   readonly target: LimitedTarget;
 }
 
-/** An issuer answered. */
+/** An issuer has granted or denied a permit. */
 export interface PermitAnswered {
   readonly kind: 'permitAnswered';
   readonly answer: PermitAnswer;
 }
 
-/** A planned stop began. */
+/** A graceful shutdown began. */
 export interface StopAsked {
   readonly kind: 'stopAsked';
 }
 
-/** Everything that bears on where requests go. */
+/** All events that affect which target a request is sent to. */
 export type BalancerEvent =
   | RequestArrived
   | CallerLeft
--- a/src/balancing/expectedTime.ts
+++ b/src/balancing/expectedTime.ts
@@ -1,79 +1,82 @@
 import type { Route } from './model.js';
-import type { SendingBasis, ServiceCurve } from './ServiceCurve.js';
+import type { LoadSnapshot, ServiceCurve } from './ServiceCurve.js';
 import { FAILURE_COST_OBJECTIVES, LATE_SLOT_SHARE } from './settings.js';
 import type { TargetRecord } from './TargetRecord.js';
 import { getScores } from './TargetRecord.js';
 
-/** Where one more request would stand at a target. */
-export type Place =
-  /** On a slot with which the target gets more done than without. */
+/** Kind of slot that one more request would get at a target. */
+export type SlotKind =
+  /** A slot up to the target's best occupancy. */
   | 'free'
-  /** On one of the last slots, with which it gets less done. */
+  /** One of the last slots; occupying it lowers what the target completes in time. */
   | 'last'
-  /** In the target's queue. */
+  /** A place in the target's own queue. */
   | 'queued';
 
-/** What one more request would meet at a target. */
-export interface Expectation {
-  /** Time to the answer by the target's own reading, in milliseconds. */
-  readonly readMs: number;
-  /** The same with how slow the target turned out to be lately. */
-  readonly likelyMs: number;
-  /** The same with what its failures cost the caller. */
+/** What to expect if one more request is sent to a target. */
+export interface ResponseEstimate {
+  /** Time to the answer by the target's load reading, in milliseconds. */
+  readonly expectedMs: number;
+  /** `expectedMs`, multiplied by how much slower the target has recently been than expected. */
+  readonly adjustedMs: number;
+  /**
+   * `adjustedMs` plus the expected cost of a failure; the measure by which targets are compared.
+   */
   readonly costMs: number;
-  readonly place: Place;
-  /** Whether the target leaves enough slots to those that can still meet their objective. */
-  readonly isRoomy: boolean;
-  /** What it rests on. */
-  readonly basis: SendingBasis;
+  readonly slot: SlotKind;
+  /** Whether enough slots stay free for requests that can still meet their objective. */
+  readonly hasSpareSlots: boolean;
+  /** Load that the estimate is based on. */
+  readonly load: LoadSnapshot;
 }
 
-function getBasis(record: TargetRecord, now: number): SendingBasis {
+function getLoadSnapshot(record: TargetRecord, now: number): LoadSnapshot {
   const { reading, entry } = record;
   const slots = Math.max(1, reading?.slots ?? entry.slots);
-  const busy = (reading?.running ?? record.outstanding) + record.sentSinceReading + 1;
+  const occupied = (reading?.running ?? record.outstanding) + record.sentSinceReading + 1;
   return {
-    busy,
+    occupied,
     slots,
     slowdown: reading?.slowdown ?? 1,
     isCold: record.coldUntil > now,
-    ahead: Math.max(0, busy - slots) + (reading?.waiting ?? 0),
+    queuedAhead: Math.max(0, occupied - slots) + (reading?.waiting ?? 0),
   };
 }
 
 /**
- * What one more request of a route would meet at a target.
+ * Estimates the response if one more request of a route is sent to a target.
  * @param record - The target; it has a reading.
  * @param route - The request's route.
- * @param workMs - Work that the route's requests are, in milliseconds.
- * @param curve - What is learnt of the service's targets.
+ * @param workMs - Estimated work time of the route's requests, in milliseconds.
+ * @param curve - What has been learnt about the service's targets.
  * @param now - Monotonic milliseconds.
  */
-export function getExpectation(
+export function estimateResponse(
   record: TargetRecord,
   route: Route,
   workMs: number,
   curve: ServiceCurve,
   now: number,
-): Expectation {
+): ResponseEstimate {
   const { reading } = record;
-  const basis = getBasis(record, now);
-  const { busy, slots, slowdown, isCold, ahead } = basis;
-  const bestBusy = curve.getBestBusy(slots, route.objectiveMs / workMs);
-  const unqueued = busy <= bestBusy ? 'free' : 'last';
-  const place = ahead > 0 ? 'queued' : unqueued;
-  const factor = curve.getSlowFactor(slowdown) * (isCold ? curve.getColdFactor() : 1);
-  const readMs = workMs * curve.getFactor(busy, slots) * (ahead / slots + factor);
+  const load = getLoadSnapshot(record, now);
+  const { occupied, slots, slowdown, isCold, queuedAhead } = load;
+  const bestOccupancy = curve.getBestOccupancy(slots, route.objectiveMs / workMs);
+  const unqueuedSlot = occupied <= bestOccupancy ? 'free' : 'last';
+  const slot = queuedAhead > 0 ? 'queued' : unqueuedSlot;
+  const slowdownFactor = curve.getSlowdownFactor(slowdown) * (isCold ? curve.getColdFactor() : 1);
+  const expectedMs =
+    workMs * curve.getLoadFactor(occupied, slots) * (queuedAhead / slots + slowdownFactor);
   const { failures, slowness } = getScores(record, now);
-  const unhealthy = reading !== undefined && !reading.isHealthy ? 0.5 : 0;
-  const likelyMs = readMs * Math.max(1, slowness);
-  const failureMs = (failures + unhealthy) * FAILURE_COST_OBJECTIVES * route.objectiveMs;
+  const unhealthyPenalty = reading !== undefined && !reading.isHealthy ? 0.5 : 0;
+  const adjustedMs = expectedMs * Math.max(1, slowness);
+  const failureMs = (failures + unhealthyPenalty) * FAILURE_COST_OBJECTIVES * route.objectiveMs;
   return {
-    readMs,
-    likelyMs,
-    costMs: likelyMs + failureMs,
-    place,
-    isRoomy: busy <= Math.max(1, Math.floor(bestBusy * LATE_SLOT_SHARE)),
-    basis,
+    expectedMs,
+    adjustedMs,
+    costMs: adjustedMs + failureMs,
+    slot,
+    hasSpareSlots: occupied <= Math.max(1, Math.floor(bestOccupancy * LATE_SLOT_SHARE)),
+    load,
   };
 }
--- a/src/balancing/fleetHandlers.ts
+++ b/src/balancing/fleetHandlers.ts
@@ -3,17 +3,17 @@
 import type { BalancerEffect } from './effects.js';
 import type { ProbeEnded, TableRead, TargetsRead, VmsChanged, ZonesOutRead } from './events.js';
 import { markDead } from './learning.js';
-import { forgetLimits, noteLimit } from './limits.js';
-import type { TargetEntry } from './model.js';
-import { place, placeWaiting } from './placing.js';
+import { removeExpiredLimits, recordLimit } from './limits.js';
+import type { TargetRegistration } from './model.js';
+import { placeRequest, placeWaitingRequests } from './placing.js';
 import { sortByPreference } from './preference.js';
 import type { TargetRecord } from './TargetRecord.js';
-import { createTargetRecord, noteOutcome } from './TargetRecord.js';
+import { createTargetRecord, recordOutcome } from './TargetRecord.js';
 import { holdNewVersions } from './versions.js';
 
-/** A configuration was read: it is adopted unless a later one is in force. */
+/** Adopts a configuration that was read, unless it is older than the current one. */
 export function handleTable(state: BalancerState, { table }: TableRead): BalancerEffect[] {
-  // The store, a peer or a late answer may give an older one; going back would undo a change.
+  // The store, a peer or a late answer may send an older one; adopting it would undo a change.
   if (state.table !== undefined && table.version <= state.table.version) return [];
   const before = state.table?.version;
   state.table = table;
@@ -36,77 +36,91 @@
 
 type TargetEvent = 'target.added' | 'target.removed' | 'target.draining';
 
-function describe({ id, service, version, address, bornAt, zone, coldMs }: TargetEntry): string {
+function describeTarget({
+  id,
+  service,
+  version,
+  address,
+  bornAt,
+  zone,
+  coldMs,
+}: TargetRegistration): string {
   return `${id} ${service} ${version} ${address} ${zone} born ${bornAt} cold ${coldMs}`;
 }
 
-/** One line for all targets that one reading is about: a VM that starts learns of hundreds at once. */
-function logTargets(event: TargetEvent, entries: readonly TargetEntry[]): BalancerEffect[] {
+/**
+ * Logs one line for all targets of a list, since a VM that starts reads hundreds of them at once.
+ */
+function logTargets(event: TargetEvent, entries: readonly TargetRegistration[]): BalancerEffect[] {
   if (entries.length === 0) return [];
-  const fields = { count: entries.length, targets: entries.map(describe) };
+  const fields = { count: entries.length, targets: entries.map(describeTarget) };
   return [{ kind: 'log', event, fields }];
 }
 
-/** Takes one registered target in; gives what is to be logged of it. */
-function takeEntry(state: BalancerState, entry: TargetEntry, now: number): TargetEvent | undefined {
+/** Adds or updates one registered target; returns the event to log, if any. */
+function applyRegistration(
+  state: BalancerState,
+  entry: TargetRegistration,
+  now: number,
+): TargetEvent | undefined {
   const known = state.targets.get(entry.id);
-  const isSame =
+  const isSameProcess =
     known !== undefined &&
     known.entry.bornAt === entry.bornAt &&
     known.entry.address === entry.address &&
     known.entry.service === entry.service;
-  if (!isSame) {
+  if (!isSameProcess) {
     const record = createTargetRecord(entry, now);
     state.targets.set(entry.id, record);
     for (const request of known?.probeWaiters ?? []) {
-      state.journeys.get(request)?.round?.waitingFor.delete(entry.id);
+      state.pendingRequests.get(request)?.round?.awaitedTargets.delete(entry.id);
     }
     return 'target.added';
   }
-  const turnedDraining = entry.isDraining && !known.entry.isDraining;
+  const hasStartedDraining = entry.isDraining && !known.entry.isDraining;
   const changed = known.entry.coldMs !== entry.coldMs;
   known.entry = entry;
   if (changed && entry.coldMs > 0) known.coldUntil = Math.max(known.coldUntil, now + entry.coldMs);
-  return turnedDraining ? 'target.draining' : undefined;
+  return hasStartedDraining ? 'target.draining' : undefined;
 }
 
-/** The registered targets were read. */
+/** Updates the targets from a list that was read. */
 export function handleTargets(
   state: BalancerState,
   { targets, isPartial = false }: TargetsRead,
   context: BalancerContext,
 ): BalancerEffect[] {
-  state.isPartial = isPartial;
-  const removed: TargetEntry[] = [];
-  const present = new Set(targets.map(({ id }) => id));
+  state.isTargetListPartial = isPartial;
+  const removed: TargetRegistration[] = [];
+  const presentIds = new Set(targets.map(({ id }) => id));
   for (const [id, record] of state.targets) {
-    if (present.has(id)) continue;
+    if (presentIds.has(id)) continue;
     state.targets.delete(id);
     for (const request of record.probeWaiters) {
-      state.journeys.get(request)?.round?.waitingFor.delete(id);
+      state.pendingRequests.get(request)?.round?.awaitedTargets.delete(id);
     }
     removed.push(record.entry);
   }
-  const events = targets.map((entry) => takeEntry(state, entry, context.now));
-  const select = (event: TargetEvent) => targets.filter((_, i) => events[i] === event);
-  const added = select('target.added');
+  const events = targets.map((entry) => applyRegistration(state, entry, context.now));
+  const selectByEvent = (event: TargetEvent) => targets.filter((_, i) => events[i] === event);
+  const added = selectByEvent('target.added');
   const { vm, zone } = state.settings;
   const groups = groupByService(state.targets.values());
   holdNewVersions(state, groups, new Set(added.map(({ id }) => id)), context.now);
-  state.byService = new Map(
+  state.targetsByService = new Map(
     [...groups].map(([service, group]) => [service, sortByPreference(group, vm, zone)]),
   );
-  for (const [service, group] of groups) state.versions.sortNew(service, group);
-  state.cold.keepOnly(state.targets);
-  forgetLimits(state, context.now);
+  for (const [service, group] of groups) state.versions.sortNewTargets(service, group);
+  state.coldRate.keepOnly(state.targets);
+  removeExpiredLimits(state, context.now);
   return [
     ...logTargets('target.removed', removed),
     ...logTargets('target.added', added),
-    ...logTargets('target.draining', select('target.draining')),
+    ...logTargets('target.draining', selectByEvent('target.draining')),
   ];
 }
 
-/** Availability zones were taken out or back. */
+/** Updates the availability zones that are out of service. */
 export function handleZonesOut(state: BalancerState, { zones }: ZonesOutRead): BalancerEffect[] {
   const before = [...state.zonesOut].sort().join();
   state.zonesOut = new Set(zones);
@@ -114,18 +128,18 @@
   return [{ kind: 'log', event: 'zones.out', fields: { zones } }];
 }
 
-/** Entry VMs joined or left. */
+/** Updates the entry VMs. */
 export function handleVms(
   state: BalancerState,
   { vms, announced = vms }: VmsChanged,
 ): BalancerEffect[] {
-  if (announced.join() !== state.announced.join()) state.announced = announced;
-  if (vms.join() === state.vms.join()) return [];
-  state.vms = vms;
+  if (announced.join() !== state.announcedVms.join()) state.announcedVms = announced;
+  if (vms.join() === state.liveVms.join()) return [];
+  state.liveVms = vms;
   return [{ kind: 'log', event: 'vms.changed', fields: { count: vms.length } }];
 }
 
-function noteCold(record: TargetRecord, coldMs: number, now: number): BalancerEffect[] {
+function updateColdUntil(record: TargetRecord, coldMs: number, now: number): BalancerEffect[] {
   const wasCold = record.coldUntil > now;
   record.coldUntil = coldMs > 0 ? now + coldMs : 0;
   if (wasCold || coldMs <= 0) return [];
@@ -133,7 +147,7 @@
   return [{ kind: 'log', event: 'target.cold', fields: { target: id, service, coldMs } }];
 }
 
-function takeProbeEnd(
+function applyProbeResult(
   state: BalancerState,
   record: TargetRecord,
   { end }: ProbeEnded,
@@ -142,16 +156,16 @@
   if (end.kind === 'answered') {
     record.reading = end.reading;
     record.sentSinceReading = 0;
-    // A probe's answer without a limit ends none: only answers to requests are sure to name it.
-    const limits = end.limit === undefined ? [] : noteLimit(state, record, end.limit, now);
-    const effects = [...limits, ...noteCold(record, end.coldMs, now)];
-    if (record.deadTimes === 0) return effects;
-    record.deadTimes = 0;
+    // A probe's result without a limit ends none: only answers to requests are sure to name it.
+    const limits = end.limit === undefined ? [] : recordLimit(state, record, end.limit, now);
+    const effects = [...limits, ...updateColdUntil(record, end.coldMs, now)];
+    if (record.deadCount === 0) return effects;
+    record.deadCount = 0;
     const { id, service } = record.entry;
     return [...effects, { kind: 'log', event: 'target.alive', fields: { target: id, service } }];
   }
   if (end.kind === 'broken') {
-    noteOutcome(record, true, now);
+    recordOutcome(record, true, now);
     return [];
   }
   return markDead(record, now);
@@ -159,11 +173,11 @@
 
 /**
  * Places requests that waited for a probe of a target, or for a permit to send to it.
- * @param state - What is known.
+ * @param state - State of this entry VM.
  * @param record - The target.
- * @param context - Time and chance.
+ * @param context - Clock and random source.
  */
-export function placeWaiters(
+export function placeProbeWaiters(
   state: BalancerState,
   record: TargetRecord,
   context: BalancerContext,
@@ -171,14 +185,14 @@
   const waiters = [...record.probeWaiters];
   record.probeWaiters.clear();
   return waiters.flatMap((request) => {
-    const journey = state.journeys.get(request);
-    if (journey?.round === undefined) return [];
-    journey.round.waitingFor.delete(record.entry.id);
-    return place(state, journey, context);
+    const pending = state.pendingRequests.get(request);
+    if (pending?.round === undefined) return [];
+    pending.round.awaitedTargets.delete(record.entry.id);
+    return placeRequest(state, pending, context);
   });
 }
 
-/** A probe is over: requests that wait for it are placed. */
+/** Applies the result of a probe and places the requests that waited for it. */
 export function handleProbeEnded(
   state: BalancerState,
   event: ProbeEnded,
@@ -187,10 +201,10 @@
   const record = state.targets.get(event.target);
   if (record === undefined || record.entry.bornAt !== event.bornAt) return [];
   record.probeSentAt = undefined;
-  const effects = takeProbeEnd(state, record, event, context.now);
-  effects.push(...placeWaiters(state, record, context));
+  const effects = applyProbeResult(state, record, event, context.now);
+  effects.push(...placeProbeWaiters(state, record, context));
   if (event.end.kind === 'answered') {
-    effects.push(...placeWaiting(state, record.entry.service, context));
+    effects.push(...placeWaitingRequests(state, record.entry.service, context));
   }
   return effects;
 }
--- a/src/balancing/learning.ts
+++ b/src/balancing/learning.ts
@@ -1,22 +1,22 @@
 import type { BalancerState } from './BalancerState.js';
-import { getCurve } from './BalancerState.js';
+import { getServiceCurve } from './BalancerState.js';
 import type { BalancerEffect } from './effects.js';
-import type { AttemptEnd } from './events.js';
-import type { Journey, Sending } from './Journey.js';
-import { noteLimit } from './limits.js';
-import { DEAD_MOST_MS, DEAD_MS, FIRST_FAILURE, GOOD_SLOWDOWN } from './settings.js';
+import type { AttemptResult } from './events.js';
+import type { PendingRequest, PendingAttempt } from './PendingRequest.js';
+import { recordLimit } from './limits.js';
+import { DEAD_MAX_MS, DEAD_MIN_MS, MIN_FAILURE_STATUS, MAX_NORMAL_SLOWDOWN } from './settings.js';
 import type { TargetRecord } from './TargetRecord.js';
-import { noteOutcome, noteSlowness } from './TargetRecord.js';
-import { isOnTrial, noteVersionAnswer } from './versions.js';
+import { recordOutcome, recordSlowness } from './TargetRecord.js';
+import { isInRollout, recordVersionAnswer } from './versions.js';
 
 /**
- * Leaves a target alone that takes no connection.
+ * Marks a target that accepts no connection as dead until its backoff is over.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
 export function markDead(record: TargetRecord, now: number): BalancerEffect[] {
-  const forMs = Math.min(DEAD_MOST_MS, DEAD_MS * 2 ** record.deadTimes);
-  record.deadTimes += 1;
+  const forMs = Math.min(DEAD_MAX_MS, DEAD_MIN_MS * 2 ** record.deadCount);
+  record.deadCount += 1;
   record.deadUntil = now + forMs;
   record.reading = undefined;
   return [
@@ -26,76 +26,76 @@
       fields: {
         target: record.entry.id,
         service: record.entry.service,
-        times: record.deadTimes,
+        times: record.deadCount,
         forMs,
       },
     },
   ];
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
   return Number(value.toFixed(2));
 }
 
-/** Learns the route's work, and what the load that was read did to it. */
-function learnTimes(
+/** Updates the estimates of the route's work time and of the service's slowdown under load. */
+function learnDurations(
   state: BalancerState,
-  { route, service }: Journey,
-  { basis, expectedMs, workMs }: Sending,
+  { route, service }: PendingRequest,
+  { load, expectedMs, workMs }: PendingAttempt,
   tookMs: number,
 ): BalancerEffect[] {
-  const { busy, slots, slowdown, isCold } = basis;
-  const isTelling = !isCold && slowdown <= GOOD_SLOWDOWN;
-  if (isTelling) state.work.note(route, tookMs / Math.max(1, expectedMs), busy > slots / 2);
-  const curve = getCurve(state, service);
-  curve.note(basis, tookMs / Math.max(1, workMs));
-  const news = curve.takeNews();
-  if (news === undefined) return [];
+  const { occupied, slots, slowdown, isCold } = load;
+  const isUsual = !isCold && slowdown <= MAX_NORMAL_SLOWDOWN;
+  if (isUsual) state.workTimes.add(route, tookMs / Math.max(1, expectedMs), occupied > slots / 2);
+  const curve = getServiceCurve(state, service);
+  curve.recordAnswer(load, tookMs / Math.max(1, workMs));
+  const changed = curve.takeChange();
+  if (changed === undefined) return [];
   const fields = {
     service,
-    levels: news.levels.map(round),
-    slowdownWeight: round(news.slowdownWeight),
-    coldSlowdown: round(news.coldSlowdown),
-    answers: news.answers,
+    levels: changed.levels.map(roundToHundredths),
+    slowdownWeight: roundToHundredths(changed.slowdownWeight),
+    coldSlowdown: roundToHundredths(changed.coldSlowdown),
+    answers: changed.answers,
     route: route.name,
-    workMs: Math.round(state.work.get(route)),
+    workMs: Math.round(state.workTimes.get(route)),
   };
   return [{ kind: 'log', event: 'service.learnt', fields }];
 }
 
 /**
- * Learns from how a sending ended.
- * @param state - What is known.
- * @param journey - The request.
- * @param sending - The sending.
- * @param end - How it ended.
+ * Learns from the result of an attempt.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param attempt - The attempt.
+ * @param end - Result of the attempt.
  * @param now - Monotonic milliseconds.
  */
-export function learn(
+export function learnFromAttempt(
   state: BalancerState,
-  journey: Journey,
-  sending: Sending,
-  end: AttemptEnd,
+  pending: PendingRequest,
+  attempt: PendingAttempt,
+  end: AttemptResult,
   now: number,
 ): BalancerEffect[] {
-  const { target } = sending;
+  const { target } = attempt;
   const effects =
     end.kind === 'answered' || end.kind === 'rejected'
-      ? noteLimit(state, target, end.limit, now)
+      ? recordLimit(state, target, end.limit, now)
       : [];
   if (end.kind === 'unsent' || end.kind === 'misdirected') return markDead(target, now);
   if ((end.kind === 'answered' || end.kind === 'rejected') && end.reading !== undefined) {
     target.reading = end.reading;
     target.sentSinceReading = 0;
   }
-  const isSuccess = end.kind === 'answered' && end.status < FIRST_FAILURE;
-  noteOutcome(target, !isSuccess, now);
-  const isCounted = sending.isOverdue || end.kind === 'rejected';
-  if (!isCounted) noteVersionAnswer(state, journey, sending, !isSuccess);
+  const isSuccess = end.kind === 'answered' && end.status < MIN_FAILURE_STATUS;
+  recordOutcome(target, !isSuccess, now);
+  const isAlreadyCounted = attempt.isOverdue || end.kind === 'rejected';
+  if (!isAlreadyCounted) recordVersionAnswer(state, pending, attempt, !isSuccess);
   if (!isSuccess) return effects;
-  const tookMs = now - sending.sentAt;
-  noteSlowness(target, tookMs / Math.max(1, sending.expectedMs), now);
-  return isOnTrial(state, target)
+  const tookMs = now - attempt.sentAt;
+  recordSlowness(target, tookMs / Math.max(1, attempt.expectedMs), now);
+  return isInRollout(state, target)
     ? effects
-    : [...effects, ...learnTimes(state, journey, sending, tookMs)];
+    : [...effects, ...learnDurations(state, pending, attempt, tookMs)];
 }
--- a/src/balancing/limits.ts
+++ b/src/balancing/limits.ts
@@ -2,22 +2,22 @@
 import type { LimitedTarget, LimitReport, PermitDecision } from '../limits/index.js';
 import type { BalancerState } from './BalancerState.js';
 import type { BalancerEffect } from './effects.js';
-import type { NamedLimit } from './model.js';
+import type { AdvertisedLimit } from './model.js';
 import type { TargetRecord } from './TargetRecord.js';
 
-function toLimited({ entry }: TargetRecord): LimitedTarget {
+function toLimitedTarget({ entry }: TargetRecord): LimitedTarget {
   return { target: entry.id, bornAt: entry.bornAt };
 }
 
 /**
- * Takes what a target said of its limit.
- * @param state - What is known.
- * @param reports - What it said, to this VM or to another one.
- * @param source - Who heard it.
+ * Applies reports of the limits that targets have advertised.
+ * @param state - State of this entry VM.
+ * @param reports - Limits that were advertised to this VM or to another one.
+ * @param source - Whether the reports come from an answer to this VM or from another VM.
  * @param now - Monotonic milliseconds.
- * @returns Lines of the log, and what is to be told on.
+ * @returns Log lines, and reports to pass on to other VMs.
  */
-export function takeLimitReports(
+export function applyLimitReports(
   state: BalancerState,
   reports: readonly LimitReport[],
   source: 'answer' | 'vm',
@@ -39,102 +39,118 @@
 }
 
 /**
- * Notes what an answer says of the requests a second that its target takes.
- * @param state - What is known.
+ * Records the limit that an answer advertises.
+ * @param state - State of this entry VM.
  * @param record - The target.
- * @param limit - What the answer names.
+ * @param limit - Limit in the answer.
  * @param now - Monotonic milliseconds.
  */
-export function noteLimit(
+export function recordLimit(
   state: BalancerState,
   record: TargetRecord,
-  limit: NamedLimit,
+  limit: AdvertisedLimit,
   now: number,
 ): BalancerEffect[] {
   if (limit === 'unreadable') {
     const { id: target, service } = record.entry;
     return [{ kind: 'log', event: 'target.limitUnreadable', fields: { target, service } }];
   }
-  const report = { ...toLimited(record), perSecond: limit, ageMs: 0 };
-  return takeLimitReports(state, [report], 'answer', now);
+  const report = { ...toLimitedTarget(record), perSecond: limit, ageMs: 0 };
+  return applyLimitReports(state, [report], 'answer', now);
 }
 
-/** Requests a second that all VMs together may send to a target now; undefined if it is not limited. */
+/**
+ * Returns the requests per second that all VMs together may send to a target; undefined if
+ * unlimited.
+ */
 export function getLimit(
   { limits }: BalancerState,
   record: TargetRecord,
   now: number,
 ): number | undefined {
-  return limits.size === 0 ? undefined : limits.getAllowedRate(toLimited(record), now);
+  return limits.size === 0 ? undefined : limits.getAllowedRate(toLimitedTarget(record), now);
 }
 
 /**
- * Whether a request may be sent to a target, as far as its limit is concerned.
- * @param state - What is known.
+ * Whether a target's limit allows one more request from this VM now.
+ * @param state - State of this entry VM.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
-export function maySend(state: BalancerState, record: TargetRecord, now: number): boolean {
+export function isWithinLimit(state: BalancerState, record: TargetRecord, now: number): boolean {
   if (getLimit(state, record, now) === undefined) return true;
-  return state.permits.has(toLimited(record), now);
+  return state.permits.has(toLimitedTarget(record), now);
 }
 
 /**
- * Whether a target's limit is used up, so that no permit can be had before a time that is known.
- * @param state - What is known.
+ * Whether a target's limit is used up: no permit is held or requested, and no issuer can be asked
+ * now.
+ * @param state - State of this entry VM.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
-export function isExhausted(state: BalancerState, record: TargetRecord, now: number): boolean {
-  if (maySend(state, record, now)) return false;
-  const { permits, announced } = state;
-  const target = toLimited(record);
-  return !permits.isPending(target, now) && permits.getIssuer(target, announced, now) === undefined;
+export function isLimitExhausted(state: BalancerState, record: TargetRecord, now: number): boolean {
+  if (isWithinLimit(state, record, now)) return false;
+  const { permits, announcedVms: vms } = state;
+  const target = toLimitedTarget(record);
+  return !permits.isPending(target, now) && permits.getIssuer(target, vms, now) === undefined;
 }
 
-/** When a permit can be had for a target of a service again; monotonic milliseconds. */
-export function getOpenAt(state: BalancerState, service: ServiceName, now: number): number {
-  const times = (state.byService.get(service) ?? [])
-    .filter((record) => isExhausted(state, record, now))
-    .map((record) => state.permits.getNextRequestAt(toLimited(record), state.announced, now));
+/**
+ * Returns when a permit for any target of a service can be requested again; monotonic milliseconds.
+ */
+export function getPermitAvailableAt(
+  state: BalancerState,
+  service: ServiceName,
+  now: number,
+): number {
+  const times = (state.targetsByService.get(service) ?? [])
+    .filter((record) => isLimitExhausted(state, record, now))
+    .map((record) =>
+      state.permits.getNextRequestAt(toLimitedTarget(record), state.announcedVms, now),
+    );
   return times.length === 0 ? now : Math.min(...times);
 }
 
-/** Uses a permit up as a request is sent; gives the limit that it is sent under. */
+/** Uses a permit for a request that is being sent, and returns the target's limit. */
 export function usePermit(
   state: BalancerState,
   record: TargetRecord,
   now: number,
 ): number | undefined {
   const perSecond = getLimit(state, record, now);
-  if (perSecond !== undefined) state.permits.take(toLimited(record), now);
+  if (perSecond !== undefined) state.permits.take(toLimitedTarget(record), now);
   return perSecond;
 }
 
 /**
- * Has this VM's own issuer decide on one request.
- * @param state - What is known.
+ * Lets this VM's own issuer decide on a permit for one request.
+ * @param state - State of this entry VM.
  * @param target - The target.
  * @param now - Monotonic milliseconds.
  */
-export function issue(state: BalancerState, target: LimitedTarget, now: number): PermitDecision {
+export function issuePermit(
+  state: BalancerState,
+  target: LimitedTarget,
+  now: number,
+): PermitDecision {
   const perSecond = state.limits.getAllowedRate(target, now);
   if (perSecond === undefined) return { isGranted: true, waitMs: 0 };
-  return state.issuer.tryIssue(target, perSecond, state.announced.length, now);
+  return state.issuer.tryIssue(target, perSecond, state.announcedVms.length, now);
 }
 
-/** Asks this VM's own issuer; gives whether it granted one. */
-function askSelf(state: BalancerState, target: LimitedTarget, now: number): boolean {
-  const { isGranted, waitMs } = issue(state, target, now);
+/** Requests a permit from this VM's own issuer; returns whether it was granted. */
+function askOwnIssuer(state: BalancerState, target: LimitedTarget, now: number): boolean {
+  const { isGranted, waitMs } = issuePermit(state, target, now);
   if (isGranted) state.permits.add(target, state.settings.vm, now);
   else state.permits.recordDenial(target, state.settings.vm, waitMs, now);
   return isGranted;
 }
 
 /**
- * Asks for a permit to send one request to a limited target, unless it is being asked for. It may be had
- * at once if this VM issues permits for the target itself.
- * @param state - What is known.
+ * Requests a permit for one request to a limited target, unless a request for one is open. The
+ * permit is available at once if this VM is itself an issuer for the target.
+ * @param state - State of this entry VM.
  * @param record - The target.
  * @param now - Monotonic milliseconds.
  */
@@ -143,19 +159,19 @@
   record: TargetRecord,
   now: number,
 ): BalancerEffect[] {
-  const { permits, announced, settings, limits } = state;
-  const target = toLimited(record);
+  const { permits, announcedVms, settings, limits } = state;
+  const target = toLimitedTarget(record);
   const effects: BalancerEffect[] = [];
-  const silent = permits.expireRequest(target, now);
-  if (silent !== undefined) {
-    const fields = { vm: silent, target: target.target };
+  const silentVm = permits.expireRequest(target, now);
+  if (silentVm !== undefined) {
+    const fields = { vm: silentVm, target: target.target };
     effects.push({ kind: 'log', event: 'permit.issuerSilent', fields });
   }
   if (permits.isPending(target, now)) return effects;
-  let vm = permits.getIssuer(target, announced, now);
+  let vm = permits.getIssuer(target, announcedVms, now);
   if (vm === settings.vm) {
-    if (askSelf(state, target, now)) return effects;
-    vm = permits.getIssuer(target, announced, now);
+    if (askOwnIssuer(state, target, now)) return effects;
+    vm = permits.getIssuer(target, announcedVms, now);
   }
   if (vm === undefined || vm === settings.vm) return effects;
   const ask = permits.recordRequest(target, vm, now);
@@ -166,37 +182,37 @@
   ];
 }
 
-/** Takes a permit back that this VM issued. */
-export function takePermitBack(state: BalancerState, target: LimitedTarget, now: number): void {
+/** Takes back a permit that this VM issued. */
+export function reclaimPermit(state: BalancerState, target: LimitedTarget, now: number): void {
   const perSecond = state.limits.getAllowedRate(target, now);
   if (perSecond === undefined) return;
-  state.issuer.reclaim(target, perSecond, state.announced.length, now);
+  state.issuer.reclaim(target, perSecond, state.announcedVms.length, now);
 }
 
 /**
- * Returns permits that were asked for on behalf of a request and that neither it nor another one needs.
- * @param state - What is known.
- * @param permitsAsked - Targets that permits were asked for.
+ * Returns permits that were requested on behalf of a request and that no request needs any more.
+ * @param state - State of this entry VM.
+ * @param permitTargets - Targets for which permits were requested.
  * @param now - Monotonic milliseconds.
  */
 export function returnPermits(
   state: BalancerState,
-  permitsAsked: Iterable<TargetRecord>,
+  permitTargets: Iterable<TargetRecord>,
   now: number,
 ): BalancerEffect[] {
   const { permits, settings } = state;
-  return [...permitsAsked].flatMap((record): BalancerEffect[] => {
-    const target = toLimited(record);
+  return [...permitTargets].flatMap((record): BalancerEffect[] => {
+    const target = toLimitedTarget(record);
     const vm = record.probeWaiters.size === 0 ? permits.take(target, now) : undefined;
     if (vm === undefined) return [];
     if (vm !== settings.vm) return [{ kind: 'returnPermit', vm, target }];
-    takePermitBack(state, target, now);
+    reclaimPermit(state, target, now);
     return [];
   });
 }
 
-/** Forgets limits that nobody has confirmed for long, and all that hangs on them. */
-export function forgetLimits({ limits, permits, issuer }: BalancerState, now: number): void {
+/** Removes limits that have not been confirmed for long, with their permits and buckets. */
+export function removeExpiredLimits({ limits, permits, issuer }: BalancerState, now: number): void {
   limits.removeExpired(now);
   permits.keepOnly(limits.isLimited);
   issuer.keepOnly(limits.isLimited);
--- a/src/balancing/model.ts
+++ b/src/balancing/model.ts
@@ -1,42 +1,42 @@
 import type { ServiceName, TargetId, ZoneName } from '../core/model/index.js';
 
-/** One of the services that a route's requests go to, and its part of them. */
+/** One of the services that a route sends requests to, with its weight. */
 export interface WeightedService {
   readonly service: ServiceName;
-  /** Share relative to the other parts of the route. */
+  /** Weight relative to the route's other services. */
   readonly weight: number;
 }
 
-/** Requests of one host under one path prefix. */
+/** Rules for the requests of one host under one path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  /** Whether a request may run more than once. */
+  /** Whether a request may safely run more than once. */
   readonly isIdempotent: boolean;
-  /** Time within which an answer has its full worth to the caller, in milliseconds. */
+  /** Latency objective, in milliseconds; a later answer is worth less to the caller. */
   readonly objectiveMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly services: readonly WeightedService[];
-  /** Longest that a caller is kept waiting, in milliseconds. */
+  /** Maximum time until a caller is answered, in milliseconds. */
   readonly timeoutMs: number;
-  /** Targets that one request may be sent to. */
+  /** Maximum number of targets that one request is sent to. */
   readonly maxTargets: number;
 }
 
-/** What holds for all targets of a service. */
-export interface ServiceRules {
+/** Settings that apply to all targets of a service. */
+export interface ServicePolicy {
   readonly name: ServiceName;
   readonly healthPath: string;
-  /** Connections that a target accepts from all entry VMs together. */
+  /** Maximum number of connections that a target accepts from all entry VMs together. */
   readonly maxConnections: number;
-  /** Requests a second that a cold target bears from all entry VMs together. */
+  /** Requests per second that a cold target can handle from all entry VMs together. */
   readonly coldRequestsPerSecond: number;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   readonly bodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -44,66 +44,69 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One accepted configuration as a whole. */
+/** One complete accepted configuration. */
 export interface RoutingTable {
-  /** Grows with each accepted configuration; a process never goes back. */
+  /** Increases with each accepted configuration; a process never returns to an older one. */
   readonly version: number;
   readonly routes: readonly Route[];
-  readonly services: readonly ServiceRules[];
+  readonly services: readonly ServicePolicy[];
   readonly limits: CallerLimits;
 }
 
-/** What a target has registered of itself. */
-export interface TargetEntry {
+/** What a target has registered about itself. */
+export interface TargetRegistration {
   readonly id: TargetId;
   readonly service: ServiceName;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly zone: ZoneName;
-  /** Version of its software. */
+  /** Version of the target's software. */
   readonly version: string;
-  /** Unix milliseconds of its start: tells apart two processes under one id. 0 if not told. */
+  /**
+   * Start time of the target's process, Unix milliseconds; distinguishes processes that use the
+   * same id. 0 if unknown.
+   */
   readonly bornAt: number;
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How much longer it said that it stays cold, in milliseconds. */
+  /** Remaining time for which the target says it is cold, in milliseconds. */
   readonly coldMs: number;
 }
 
-/** What an entry VM has announced of itself. */
-export interface VmEntry {
+/** What an entry VM has announced about itself. */
+export interface VmAnnouncement {
   readonly name: string;
   readonly zone: ZoneName;
-  /** Where callers connect: IP number and port. */
+  /** Address for callers: IP address and port. */
   readonly callers: string;
-  /** Where other entry VMs connect: IP number and port. */
+  /** Address for other entry VMs: IP address and port. */
   readonly peers: string;
-  /** Bandwidth of its network link, in Mbit/s; 0 if it did not tell. */
+  /** Bandwidth of its network link, in Mbit/s; 0 if unknown. */
   readonly linkMbps: number;
 }
 
 /**
- * Entry VMs that one of them has announced: itself, and others that asked it to when all started
- * together.
+ * Entry VMs announced by one of them: itself, and others that asked it to announce them when all
+ * VMs started together.
  */
 export interface VmRoster {
-  readonly vms: readonly VmEntry[];
+  readonly vms: readonly VmAnnouncement[];
 }
 
-/** What a target said of its load in answer to a probe or with an answer. */
+/** Load that a target has reported in a probe's result or in an answer. */
 export interface LoadReading {
-  /** When it was taken; monotonic milliseconds of this process. */
+  /** When the load was read; monotonic milliseconds of this process. */
   readonly at: number;
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes on the target's VM now; 1 is as usual. */
+  /** How many times as long work currently takes on the target's VM; 1 is normal. */
   readonly slowdown: number;
   readonly isHealthy: boolean;
 }
 
 /**
- * What an answer says of the requests a second that its target takes from all entry VMs together:
- * undefined if it names no limit.
+ * Limit that an answer advertises: requests per second that its target accepts from all entry VMs
+ * together. Undefined if the answer names no limit.
  */
-export type NamedLimit = number | 'unreadable' | undefined;
+export type AdvertisedLimit = number | 'unreadable' | undefined;
--- a/src/balancing/placing.ts
+++ b/src/balancing/placing.ts
@@ -1,282 +1,292 @@
 import type { ServiceName } from '../core/model/index.js';
-import { isHopeless } from './admission.js';
+import { shouldGiveUp } from './admission.js';
 import type { BalancerContext, BalancerState } from './BalancerState.js';
 import type { Candidate } from './candidates.js';
-import { findBest, getUsable } from './candidates.js';
+import { findBestCandidate, getUsableTargets } from './candidates.js';
 import type { BalancerEffect } from './effects.js';
-import { answerRefused, endRound } from './endings.js';
-import type { Journey, ProbeRound, Sending } from './Journey.js';
-import { isExhausted, usePermit } from './limits.js';
-import { startRound, toDestination } from './probing.js';
+import { refuseOrFail, endProbeRound } from './endings.js';
+import type { PendingRequest, ProbeRound, PendingAttempt } from './PendingRequest.js';
+import { isLimitExhausted, usePermit } from './limits.js';
+import { startProbeRound, toDestination } from './probing.js';
 import {
-  HEDGE_AFTER,
-  HEDGE_GAIN,
-  HEDGE_MIN_MS,
-  PROBE_ROUND_MS,
+  HEDGE_DELAY_FACTOR,
+  HEDGE_MAX_TIME_RATIO,
+  HEDGE_MIN_DELAY_MS,
+  PROBE_ROUND_TIMEOUT_MS,
   PROBE_TIMEOUT_MS,
-  PREFERRED_ROUNDS,
-  READING_USABLE_MS,
+  PREFERRED_ROUND_COUNT,
+  OLD_READING_MAX_AGE_MS,
   ROUND_PAUSE_MS,
 } from './settings.js';
 import { getScores } from './TargetRecord.js';
 import { leaveTrial } from './versions.js';
 
-/** Least time between two looks where nothing was asked, in milliseconds. */
-const LEAST_PAUSE_MS = 5;
+/** Minimum delay before the next round if the last one sent no probe, in milliseconds. */
+const MIN_PAUSE_MS = 5;
 
-/** Least time that a target is given, in milliseconds; with less the answer can't come back. */
-const LEAST_ALLOWED_MS = 10;
+/** Minimum time that a target is given, in milliseconds; with less, the answer arrives too late. */
+const MIN_ALLOWED_MS = 10;
 
 /**
- * When a request has to be looked at again if nothing happens before.
- * @param journey - The request.
+ * Returns when a request must be checked again if no event arrives before; monotonic milliseconds.
+ * @param pending - The request.
  */
-export function getNextWake(journey: Journey): number {
-  let at = journey.deadlineAt;
-  for (const { overdueAt, isOverdue } of journey.sendings) {
+export function getNextWakeAt(pending: PendingRequest): number {
+  let at = pending.deadlineAt;
+  for (const { overdueAt, isOverdue } of pending.attempts) {
     if (!isOverdue) at = Math.min(at, overdueAt);
   }
   return at;
 }
 
-/** Sends a request to a target. */
-function send(
+/** Sends a request to a target, and records the attempt. */
+function sendAttempt(
   state: BalancerState,
-  journey: Journey,
-  { record, expected }: Candidate,
+  pending: PendingRequest,
+  { record, estimate }: Candidate,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
   const limitPerSecond = usePermit(state, record, now);
-  const given = endRound(state, journey, now);
+  const permitReturns = endProbeRound(state, pending, now);
   const { id, service } = record.entry;
   const isCold = record.coldUntil > now;
-  if (isCold) state.cold.take(id, state.services.get(service)?.coldRequestsPerSecond ?? 0, now);
-  state.lastAttempt += 1;
-  const overdueMs = Math.max(HEDGE_MIN_MS, expected.readMs * HEDGE_AFTER);
-  const sending: Sending = {
-    attempt: state.lastAttempt,
-    request: journey.request,
+  if (isCold) state.coldRate.take(id, state.services.get(service)?.coldRequestsPerSecond ?? 0, now);
+  state.lastAttemptId += 1;
+  const overdueMs = Math.max(HEDGE_MIN_DELAY_MS, estimate.expectedMs * HEDGE_DELAY_FACTOR);
+  const attempt: PendingAttempt = {
+    id: state.lastAttemptId,
+    request: pending.id,
     target: record,
     sentAt: now,
-    expectedMs: expected.readMs,
-    workMs: state.work.get(journey.route),
-    basis: expected.basis,
+    expectedMs: estimate.expectedMs,
+    workMs: state.workTimes.get(pending.route),
+    load: estimate.load,
     overdueAt: now + overdueMs,
     isOverdue: false,
   };
-  state.sendings.set(sending.attempt, sending);
-  journey.sendings.add(sending);
-  journey.tried.add(id);
-  journey.isRepeatPaid = false;
+  state.pendingAttempts.set(attempt.id, attempt);
+  pending.attempts.add(attempt);
+  pending.triedTargets.add(id);
+  pending.isRetryBudgeted = false;
   record.outstanding += 1;
   record.sentSinceReading += 1;
   const { reading } = record;
   return [
-    ...given,
+    ...permitReturns,
     {
       kind: 'sendAttempt',
-      request: journey.request,
-      attempt: sending.attempt,
+      request: pending.id,
+      attempt: attempt.id,
       to: toDestination(record),
-      allowedMs: Math.max(1, Math.floor(journey.deadlineAt - now)),
+      allowedMs: Math.max(1, Math.floor(pending.deadlineAt - now)),
     },
     {
       kind: 'log',
       event: 'request.sent',
       fields: {
-        id: journey.callerRequestId,
-        attempt: sending.attempt,
+        id: pending.callerRequestId,
+        attempt: attempt.id,
         target: id,
-        expectedMs: Math.round(expected.readMs),
-        costMs: Math.round(expected.costMs),
+        expectedMs: Math.round(estimate.expectedMs),
+        costMs: Math.round(estimate.costMs),
         running: reading?.running,
         waiting: reading?.waiting,
         slowdown: reading?.slowdown,
         readingAgeMs: reading === undefined ? undefined : Math.round(now - reading.at),
         isCold,
         limitPerSecond,
-        allowedMs: Math.round(journey.deadlineAt - now),
-        sinceFirstMs: journey.sinceFirstMs,
+        allowedMs: Math.round(pending.deadlineAt - now),
+        sinceFirstMs: pending.sinceFirstMs,
         failures: Number(getScores(record, now).failures.toFixed(2)),
       },
     },
-    { kind: 'wake', request: journey.request, at: getNextWake(journey) },
+    { kind: 'wake', request: pending.id, at: getNextWakeAt(pending) },
   ];
 }
 
-/** No target answered in time: one that was sound a moment ago is better than none. */
-function chooseBlindly(
+/** Falls back to readings of up to `OLD_READING_MAX_AGE_MS` if no target has answered recently. */
+function chooseFromOldReadings(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
 ): Candidate | undefined {
-  const isAnswered = getUsable(state, journey, context.now).some(
+  const hasResponsiveTarget = getUsableTargets(state, pending, context.now).some(
     ({ reading }) => reading !== undefined && context.now - reading.at < PROBE_TIMEOUT_MS,
   );
-  // Targets that answer probes and are full would only be buried by what is sent blindly.
-  if (isAnswered) return undefined;
-  return findBest(state, journey, context, READING_USABLE_MS);
+  // If targets answer probes and none qualifies, they are full: sending anyway would overload them.
+  if (hasResponsiveTarget) return undefined;
+  return findBestCandidate(state, pending, context, OLD_READING_MAX_AGE_MS);
 }
 
 function isRoundOver(round: ProbeRound | undefined, now: number): boolean {
-  if (round === undefined || round.waitingFor.size === 0) return true;
-  return now >= round.startedAt + PROBE_ROUND_MS;
+  if (round === undefined || round.awaitedTargets.size === 0) return true;
+  return now >= round.startedAt + PROBE_ROUND_TIMEOUT_MS;
 }
 
-function chooseNow(
+function chooseCandidate(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
   isRoundEnded: boolean,
 ): Candidate | undefined {
-  const best = findBest(state, journey, context);
-  if (best?.isGood === true) return best;
-  // What the first few targets have is taken only if it could not be better.
-  if (journey.rounds < 2 && journey.sendings.size === 0) return undefined;
-  return isRoundEnded ? (best ?? chooseBlindly(state, journey, context)) : undefined;
+  const best = findBestCandidate(state, pending, context);
+  if (best?.isGoodEnough === true) return best;
+  // The first round probes only a few targets: its best one is taken only if it is good enough.
+  if (pending.roundCount < 2 && pending.attempts.size === 0) return undefined;
+  return isRoundEnded ? (best ?? chooseFromOldReadings(state, pending, context)) : undefined;
 }
 
-/** A second sending has to bring the answer sooner than the first may still do. */
-function isWorthSending(journey: Journey, best: Candidate, now: number): boolean {
-  if (journey.deadlineAt - now < LEAST_ALLOWED_MS) return false;
-  const [first] = journey.sendings;
+/**
+ * Whether an attempt has enough time left; a hedge must also be expected back before the first one.
+ */
+function isWorthSending(pending: PendingRequest, best: Candidate, now: number): boolean {
+  if (pending.deadlineAt - now < MIN_ALLOWED_MS) return false;
+  const [first] = pending.attempts;
   if (first === undefined) return true;
-  const leftMs = Math.max(now - first.sentAt, first.expectedMs) * HEDGE_GAIN;
-  return best.expected.place === 'free' && best.expected.costMs < leftMs;
+  const remainingMs = Math.max(now - first.sentAt, first.expectedMs) * HEDGE_MAX_TIME_RATIO;
+  return best.estimate.slot === 'free' && best.estimate.costMs < remainingMs;
 }
 
-/** Whether a target that is left alone now may be back before the request's time is over. */
-function hasHope(state: BalancerState, journey: Journey, now: number): boolean {
-  return (state.byService.get(journey.service) ?? []).some(
+/** Whether a target that is in its backoff now may be usable before the request's deadline. */
+function hasRecoveringTarget(state: BalancerState, pending: PendingRequest, now: number): boolean {
+  return (state.targetsByService.get(pending.service) ?? []).some(
     (record) =>
       !record.entry.isDraining &&
       !state.zonesOut.has(record.entry.zone) &&
-      !journey.tried.has(record.entry.id) &&
-      record.deadUntil < journey.deadlineAt &&
-      !isExhausted(state, record, now),
+      !pending.triedTargets.has(record.entry.id) &&
+      record.deadUntil < pending.deadlineAt &&
+      !isLimitExhausted(state, record, now),
   );
 }
 
-/** Whether it is limits that keep a request from some of the targets that are up. */
-function isLimited(state: BalancerState, { service, tried }: Journey, now: number): boolean {
-  return (state.byService.get(service) ?? []).some(
+/** Whether used-up rate limits keep a request from some of the targets that are up. */
+function isBlockedByLimits(
+  state: BalancerState,
+  { service, triedTargets }: PendingRequest,
+  now: number,
+): boolean {
+  return (state.targetsByService.get(service) ?? []).some(
     (record) =>
-      record.deadUntil <= now && !tried.has(record.entry.id) && isExhausted(state, record, now),
+      record.deadUntil <= now &&
+      !triedTargets.has(record.entry.id) &&
+      isLimitExhausted(state, record, now),
   );
 }
 
-/** Time until the next look for a target, in milliseconds; the second follows the first at once. */
-function getPause({ rounds }: Journey): number {
-  return rounds < PREFERRED_ROUNDS ? 0 : ROUND_PAUSE_MS;
+/** Returns the pause before the next round, in milliseconds; the second round follows at once. */
+function getPauseMs({ roundCount }: PendingRequest): number {
+  return roundCount < PREFERRED_ROUND_COUNT ? 0 : ROUND_PAUSE_MS;
 }
 
-/** Places a request by what is known without a further probe, or has it look again later. */
-function placeKnown(
+/** Places a request by the readings at hand without probing, or schedules the next round. */
+function placeWithoutProbing(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const best = chooseNow(state, journey, context, true);
-  if (best !== undefined && isWorthSending(journey, best, now)) {
-    return send(state, journey, best, context);
+  const best = chooseCandidate(state, pending, context, true);
+  if (best !== undefined && isWorthSending(pending, best, now)) {
+    return sendAttempt(state, pending, best, context);
   }
-  const given = endRound(state, journey, now);
-  if (journey.sendings.size > 0) {
-    return [...given, { kind: 'wake', request: journey.request, at: getNextWake(journey) }];
+  const permitReturns = endProbeRound(state, pending, now);
+  if (pending.attempts.size > 0) {
+    return [...permitReturns, { kind: 'wake', request: pending.id, at: getNextWakeAt(pending) }];
   }
-  journey.nextRoundAt = now + Math.max(LEAST_PAUSE_MS, getPause(journey));
-  return [...given, { kind: 'wake', request: journey.request, at: journey.nextRoundAt }];
+  pending.nextRoundAt = now + Math.max(MIN_PAUSE_MS, getPauseMs(pending));
+  return [...permitReturns, { kind: 'wake', request: pending.id, at: pending.nextRoundAt }];
 }
 
-function lookAgain(
+function startNextRound(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
 ): BalancerEffect[] {
-  // A trial must not keep callers waiting.
-  if (journey.rounds >= PREFERRED_ROUNDS) leaveTrial(state, journey, context.now);
-  const usable = getUsable(state, journey, context.now);
-  if (journey.sendings.size > 0 && usable.length === 0) return [];
-  const hopeless = usable.length === 0 && !hasHope(state, journey, context.now);
-  const isAtTarget = journey.sendings.size > 0;
+  // A request that found no target within the preferred rounds leaves the trial of a new version.
+  if (pending.roundCount >= PREFERRED_ROUND_COUNT) leaveTrial(state, pending, context.now);
+  const usable = getUsableTargets(state, pending, context.now);
+  if (pending.attempts.size > 0 && usable.length === 0) return [];
+  const hasNoTarget = usable.length === 0 && !hasRecoveringTarget(state, pending, context.now);
+  const hasOpenAttempt = pending.attempts.size > 0;
   if (
-    !isAtTarget &&
-    (hopeless || isHopeless(journey, usable, state.work.get(journey.route), context.now))
+    !hasOpenAttempt &&
+    (hasNoTarget || shouldGiveUp(pending, usable, state.workTimes.get(pending.route), context.now))
   ) {
-    const reason = isLimited(state, journey, context.now) ? 'limited' : 'noTarget';
-    return answerRefused(state, journey, hopeless ? reason : 'overloaded', context);
+    const reason = isBlockedByLimits(state, pending, context.now) ? 'limited' : 'noTarget';
+    return refuseOrFail(state, pending, hasNoTarget ? reason : 'overloaded', context);
   }
-  const effects = startRound(state, journey, usable, context);
-  // All that would be asked was asked a moment ago, for this request or another.
-  const isKnown = journey.round?.waitingFor.size === 0;
-  return isKnown ? [...effects, ...placeKnown(state, journey, context)] : effects;
+  const effects = startProbeRound(state, pending, usable, context);
+  // The sampled targets have fresh readings or no slot in the probe budget: there is nothing to
+  // await.
+  const isNothingAwaited = pending.round?.awaitedTargets.size === 0;
+  return isNothingAwaited ? [...effects, ...placeWithoutProbing(state, pending, context)] : effects;
 }
 
 /**
- * Places requests that wait for room when a target has told its load, with an answer or a probe's.
+ * Places waiting requests after a target has reported its load, in an answer or a probe's result.
  *
- * Under a burst probes are used up, and each request looks for itself every 25 ms: a slot that an
- * answer has just freed stays idle until somebody happens to look. The answer says for nothing that
- * there is room. The newest goes first: all wait for the same slots, and it has the best chance to be
- * answered in time; the others would take its place and be late all the same.
- * @param state - What is known.
- * @param service - Whose target has told its load.
- * @param context - Time and chance.
+ * In a burst the probe budget is used up, and each request starts a round only every 25 ms, so that
+ * a slot which an answer frees would stay idle until then. The load report in the answer shows the
+ * free slot without a probe. Requests are served newest first: all wait for the same slots, and the
+ * newest one is the most likely to meet its objective. Served oldest first, each would be late in
+ * turn.
+ * @param state - State of this entry VM.
+ * @param service - Service whose target has reported its load.
+ * @param context - Clock and random source.
  */
-export function placeWaiting(
+export function placeWaitingRequests(
   state: BalancerState,
   service: ServiceName,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const waiting = [...state.journeys.values()].filter(
-    (journey) =>
-      journey.service === service &&
-      journey.sendings.size === 0 &&
-      journey.rounds >= PREFERRED_ROUNDS &&
-      // Probes that are out may tell of a better one in a moment.
-      journey.round === undefined &&
-      now < journey.deadlineAt,
+  const waiting = [...state.pendingRequests.values()].filter(
+    (pending) =>
+      pending.service === service &&
+      pending.attempts.size === 0 &&
+      pending.roundCount >= PREFERRED_ROUND_COUNT &&
+      // Probes in flight may find a better target shortly.
+      pending.round === undefined &&
+      now < pending.deadlineAt,
   );
   waiting.sort((a, b) => b.dueAt - a.dueAt);
-  return waiting.flatMap((journey) => {
-    const best = findBest(state, journey, context);
-    if (best === undefined || !isWorthSending(journey, best, now)) return [];
-    return send(state, journey, best, context);
+  return waiting.flatMap((pending) => {
+    const best = findBestCandidate(state, pending, context);
+    if (best === undefined || !isWorthSending(pending, best, now)) return [];
+    return sendAttempt(state, pending, best, context);
   });
 }
 
 /**
- * Looks for a target for a request that is at none, or for its second sending.
- * @param state - What is known.
- * @param journey - The request.
- * @param context - Time and chance.
+ * Looks for a target for a request that has no open attempt, or for its hedge.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param context - Clock and random source.
  */
-export function place(
+export function placeRequest(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const { round } = journey;
-  const isAsked = round !== undefined;
-  const isOver = isRoundOver(round, now);
-  const best = chooseNow(state, journey, context, isAsked && isOver);
-  if (best !== undefined && isWorthSending(journey, best, now)) {
-    return send(state, journey, best, context);
+  const { round } = pending;
+  const hasRound = round !== undefined;
+  const hasRoundEnded = isRoundOver(round, now);
+  const best = chooseCandidate(state, pending, context, hasRound && hasRoundEnded);
+  if (best !== undefined && isWorthSending(pending, best, now)) {
+    return sendAttempt(state, pending, best, context);
   }
-  if (!isOver) return [];
-  const given = endRound(state, journey, now);
-  if (isAsked) {
-    if (journey.sendings.size > 0) {
-      return [...given, { kind: 'wake', request: journey.request, at: getNextWake(journey) }];
+  if (!hasRoundEnded) return [];
+  const permitReturns = endProbeRound(state, pending, now);
+  if (hasRound) {
+    if (pending.attempts.size > 0) {
+      return [...permitReturns, { kind: 'wake', request: pending.id, at: getNextWakeAt(pending) }];
     }
-    journey.nextRoundAt = now + getPause(journey);
+    pending.nextRoundAt = now + getPauseMs(pending);
   }
-  if (now < journey.nextRoundAt) {
-    return [...given, { kind: 'wake', request: journey.request, at: journey.nextRoundAt }];
+  if (now < pending.nextRoundAt) {
+    return [...permitReturns, { kind: 'wake', request: pending.id, at: pending.nextRoundAt }];
   }
-  return [...given, ...lookAgain(state, journey, context)];
+  return [...permitReturns, ...startNextRound(state, pending, context)];
 }
--- a/src/balancing/preference.ts
+++ b/src/balancing/preference.ts
@@ -3,20 +3,22 @@
 import type { TargetRecord } from './TargetRecord.js';
 
 /**
- * A target of this VM's own availability zone is preferred as if it stood so many times as often.
- * Where a zone has as many targets as a VM prefers, it so prefers hardly any others, and answers and
- * probes cross between zones only when its own targets have no room.
+ * Weight of a target of this VM's own availability zone relative to other targets. Where the zone
+ * has as many targets as a VM prefers, hardly any others are preferred, and requests and probes
+ * cross between zones only if the zone's own targets are full.
  */
-const OWN_ZONE_WEIGHT = 20;
+const OWN_ZONE_PREFERENCE_WEIGHT = 20;
 
-const HASHES = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 
 /**
- * Orders a service's targets by how much this VM prefers them (weighted rendezvous hashing).
+ * Sorts a service's targets by this VM's preference, most preferred first, by weighted rendezvous
+ * hashing.
  *
- * Each VM looks at a few targets first, so that it keeps connections to those alone and work does
- * not grow with all VMs times all targets. Those of its own zone come first, since bytes between zones
- * are paid for; each VM also looks at others, so that zones with little room are helped out.
+ * Each VM tries a few targets first and keeps connections to these alone, so that the number of
+ * connections does not grow with the product of VMs and targets. Targets of its own zone come first
+ * since traffic between zones costs money. Each VM also prefers some others, which relieves zones
+ * with little spare capacity.
  * @param records - Targets of one service.
  * @param vm - Name of this VM.
  * @param zone - Availability zone of this VM.
@@ -28,9 +30,9 @@
 ): TargetRecord[] {
   return records
     .map((record) => {
-      const chance = (hashText(`${vm}|${record.entry.id}`) + 1) / (HASHES + 1);
-      const weight = record.entry.zone === zone ? OWN_ZONE_WEIGHT : 1;
-      return { record, key: chance ** (1 / weight) };
+      const hashFraction = (hashText(`${vm}|${record.entry.id}`) + 1) / (HASH_RANGE + 1);
+      const weight = record.entry.zone === zone ? OWN_ZONE_PREFERENCE_WEIGHT : 1;
+      return { record, key: hashFraction ** (1 / weight) };
     })
     .sort((a, b) => b.key - a.key)
     .map(({ record }) => record);
--- a/src/balancing/probing.ts
+++ b/src/balancing/probing.ts
@@ -1,22 +1,24 @@
 import type { BalancerContext, BalancerState } from './BalancerState.js';
-import { drawTargets } from './candidates.js';
+import { sampleTargets } from './candidates.js';
 import type { BalancerEffect, Destination } from './effects.js';
-import type { Journey, ProbeRound } from './Journey.js';
-import { askPermit, maySend, isExhausted } from './limits.js';
+import type { PendingRequest, ProbeRound } from './PendingRequest.js';
+import { askPermit, isWithinLimit, isLimitExhausted } from './limits.js';
 import {
-  FIRST_PROBES,
-  FURTHER_PROBES,
-  PREFERRED_ROUNDS,
-  PREFERRED_TARGETS,
-  PROBE_ROUND_MS,
-  READING_FRESH_MS,
+  FIRST_ROUND_PROBES,
+  LATER_ROUND_PROBES,
+  PREFERRED_ROUND_COUNT,
+  PREFERRED_TARGET_COUNT,
+  PROBE_ROUND_TIMEOUT_MS,
+  FRESH_READING_MAX_AGE_MS,
 } from './settings.js';
 import type { TargetRecord } from './TargetRecord.js';
 
-/** Limited targets that permits are asked for in one round; those that are not used are returned. */
-const PERMITS_ASKED = 3;
+/**
+ * Maximum number of limited targets for which one round requests permits; unused ones are returned.
+ */
+const MAX_PERMITS_PER_ROUND = 3;
 
-/** Where to reach a target. */
+/** Returns the address of a target, with the identity that is expected there. */
 export function toDestination({ entry }: TargetRecord): Destination {
   return { target: entry.id, bornAt: entry.bornAt, address: entry.address };
 }
@@ -28,73 +30,75 @@
 }
 
 /**
- * Probes those of a service's targets whose reading is old, as far as the budget of probes allows.
- * @param state - What is known.
+ * Probes the targets of a service whose readings are not fresh, as far as the probe budget allows.
+ * @param state - State of this entry VM.
  * @param records - The targets, all of one service.
  * @param now - Monotonic milliseconds.
  */
-export function probeStale(
+export function probeStaleTargets(
   state: BalancerState,
   records: readonly TargetRecord[],
   now: number,
 ): BalancerEffect[] {
   const stale = records.filter(
     ({ reading, probeSentAt }) =>
-      probeSentAt === undefined && (reading === undefined || now - reading.at > READING_FRESH_MS),
+      probeSentAt === undefined &&
+      (reading === undefined || now - reading.at > FRESH_READING_MAX_AGE_MS),
   );
   if (stale.length === 0) return [];
   const { service } = stale[0].entry;
-  const targets = state.byService.get(service)?.length ?? 0;
-  const allowed = state.probes.take(service, stale.length, targets, state.vms.length, now);
+  const targets = state.targetsByService.get(service)?.length ?? 0;
+  const allowed = state.probeBudget.take(service, stale.length, targets, state.liveVms.length, now);
   return stale.slice(0, allowed).map((record) => startProbe(state, record, now));
 }
 
 /**
- * Asks some targets for their load, and for permits to send to those of them that are limited.
- * @param state - What is known.
- * @param journey - The request that looks for a target; its round begins here.
- * @param usable - Targets that it may go to, those that this VM prefers first.
- * @param context - Time and chance.
+ * Starts a round: samples some targets, probes them, and requests permits for those with a limit.
+ * @param state - State of this entry VM.
+ * @param pending - The request that looks for a target; its round is set here.
+ * @param usable - Targets that the request may be sent to, sorted by preference.
+ * @param context - Clock and random source.
  */
-export function startRound(
+export function startProbeRound(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   usable: readonly TargetRecord[],
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const round: ProbeRound = { startedAt: now, waitingFor: new Set(), permitsAsked: new Set() };
-  journey.round = round;
+  const round: ProbeRound = { startedAt: now, awaitedTargets: new Set(), permitTargets: new Set() };
+  pending.round = round;
   const effects: BalancerEffect[] = [];
-  const isFirst = journey.rounds === 0;
-  const pool = journey.rounds < PREFERRED_ROUNDS ? usable.slice(0, PREFERRED_TARGETS) : usable;
-  journey.rounds += 1;
-  const drawn = drawTargets(
+  const isFirst = pending.roundCount === 0;
+  const pool =
+    pending.roundCount < PREFERRED_ROUND_COUNT ? usable.slice(0, PREFERRED_TARGET_COUNT) : usable;
+  pending.roundCount += 1;
+  const drawn = sampleTargets(
     pool,
-    isFirst ? FIRST_PROBES : FURTHER_PROBES,
+    isFirst ? FIRST_ROUND_PROBES : LATER_ROUND_PROBES,
     state.settings.zone,
     context,
   );
-  const asked = drawn
-    .filter((record) => !maySend(state, record, now))
-    .slice(0, PERMITS_ASKED)
+  const awaitingPermit = drawn
+    .filter((record) => !isWithinLimit(state, record, now))
+    .slice(0, MAX_PERMITS_PER_ROUND)
     .filter((record) => {
       effects.push(...askPermit(state, record, now));
-      round.permitsAsked.add(record);
-      return !maySend(state, record, now) && !isExhausted(state, record, now);
+      round.permitTargets.add(record);
+      return !isWithinLimit(state, record, now) && !isLimitExhausted(state, record, now);
     });
   effects.push(
-    ...probeStale(
+    ...probeStaleTargets(
       state,
-      drawn.filter((record) => maySend(state, record, now)),
+      drawn.filter((record) => isWithinLimit(state, record, now)),
       now,
     ),
   );
   for (const record of drawn) {
-    if (record.probeSentAt === undefined && !asked.includes(record)) continue;
-    round.waitingFor.add(record.entry.id);
-    record.probeWaiters.add(journey.request);
+    if (record.probeSentAt === undefined && !awaitingPermit.includes(record)) continue;
+    round.awaitedTargets.add(record.entry.id);
+    record.probeWaiters.add(pending.id);
   }
-  effects.push({ kind: 'wake', request: journey.request, at: now + PROBE_ROUND_MS });
+  effects.push({ kind: 'wake', request: pending.id, at: now + PROBE_ROUND_TIMEOUT_MS });
   return effects;
 }
--- a/src/balancing/reduceBalancer.ts
+++ b/src/balancing/reduceBalancer.ts
@@ -15,13 +15,15 @@
   handleWake,
 } from './requestHandlers.js';
 import { handleLimitsReported, handlePermitAnswered, handlePermitAsked } from './limitHandlers.js';
-import { takePermitBack } from './limits.js';
-import { takeEarly } from './starting.js';
+import { reclaimPermit } from './limits.js';
+import { releaseHeldRequests } from './starting.js';
 import { handleGuidance, handleRollouts } from './versions.js';
 
-/** Serves requests that waited for the start, once what they need is known. */
-function serveEarly(state: BalancerState, context: BalancerContext): BalancerEffect[] {
-  return takeEarly(state, context).flatMap((event) => handleArrived(state, event, context));
+/** Handles the requests that were held at startup, once configuration and targets are known. */
+function placeReleasedRequests(state: BalancerState, context: BalancerContext): BalancerEffect[] {
+  return releaseHeldRequests(state, context).flatMap((event) =>
+    handleArrived(state, event, context),
+  );
 }
 
 type Handler<K extends BalancerEvent['kind']> = (
@@ -38,16 +40,16 @@
   wakeDue: handleWake,
   tableRead: (state, event, context) => [
     ...handleTable(state, event),
-    ...serveEarly(state, context),
+    ...placeReleasedRequests(state, context),
   ],
   targetsRead: (state, event, context) => [
     ...handleTargets(state, event, context),
-    ...serveEarly(state, context),
+    ...placeReleasedRequests(state, context),
   ],
   zonesOutRead: handleZonesOut,
   rolloutsRead: (state, event, context) => [
     ...handleRollouts(state, event, context),
-    ...serveEarly(state, context),
+    ...placeReleasedRequests(state, context),
   ],
   rolloutGuided: handleGuidance,
   vmsChanged: handleVms,
@@ -55,20 +57,20 @@
   permitAsked: handlePermitAsked,
   permitAnswered: handlePermitAnswered,
   permitReturned: (state, { target }, { now }) => {
-    takePermitBack(state, target, now);
+    reclaimPermit(state, target, now);
     return [];
   },
   stopAsked: (state, _event, { now }) => {
-    state.stopAskedAt ??= now;
+    state.shutdownStartedAt ??= now;
     return [];
   },
 };
 
 /**
- * Takes one event, updates the state in place and gives what the process is to do, in order.
- * @param state - What this entry VM knows; owned by the caller and changed here.
- * @param event - What happened.
- * @param context - Time and chance.
+ * Handles one event: updates the state in place and returns the effects to carry out, in order.
+ * @param state - State of this entry VM; owned by the caller and changed here.
+ * @param event - The event.
+ * @param context - Clock and random source.
  * @example
  * const effects = reduceBalancer(state, { kind: 'stopAsked' }, { now: clock.now(), random });
  */
--- a/src/balancing/requestHandlers.ts
+++ b/src/balancing/requestHandlers.ts
@@ -1,17 +1,17 @@
 import type { BalancerContext, BalancerState } from './BalancerState.js';
 import type { BalancerEffect } from './effects.js';
-import { answerOwn, answerRefused, endJourney, forgetSending } from './endings.js';
-import type { AttemptEnd, AttemptEnded, CallerLeft, RequestArrived, WakeDue } from './events.js';
-import type { Journey, Sending } from './Journey.js';
-import { learn } from './learning.js';
-import { getNextWake, place, placeWaiting } from './placing.js';
+import { answerLocally, refuseOrFail, removeRequest, removeAttempt } from './endings.js';
+import type { AttemptResult, AttemptEnded, CallerLeft, RequestArrived, WakeDue } from './events.js';
+import type { PendingRequest, PendingAttempt } from './PendingRequest.js';
+import { learnFromAttempt } from './learning.js';
+import { getNextWakeAt, placeRequest, placeWaitingRequests } from './placing.js';
 import { findRoute, pickService } from './routes.js';
-import { isStarting, keepEarly } from './starting.js';
-import { FIRST_FAILURE, HEDGE_BUDGET_SHARE, STOP_TAKES_MS } from './settings.js';
-import { noteOutcome, noteSlowness } from './TargetRecord.js';
-import { drawLane, leaveTrial, noteVersionAnswer } from './versions.js';
+import { shouldHold, holdRequest } from './starting.js';
+import { MIN_FAILURE_STATUS, HEDGE_BUDGET_SHARE, SHUTDOWN_ACCEPT_MS } from './settings.js';
+import { recordOutcome, recordSlowness } from './TargetRecord.js';
+import { drawTrack, leaveTrial, recordVersionAnswer } from './versions.js';
 
-function answerAtOnce(
+function refuseAtOnce(
   event: RequestArrived,
   status: number,
   reason: 'notConfigured' | 'noRoute' | 'stopping',
@@ -28,91 +28,93 @@
   ];
 }
 
-/** When a caller may come back to another entry VM, in milliseconds. */
-const ELSEWHERE_MS = 50;
-/** When a process that has just started may know its configuration, in milliseconds. */
-const STARTING_MS = 300;
+/** After how long a caller should retry at another entry VM, in milliseconds. */
+const RETRY_ELSEWHERE_MS = 50;
+/** After how long a caller should retry if no configuration is known yet, in milliseconds. */
+const STARTUP_RETRY_MS = 300;
 
-/** A request is here: it is refused or a target is looked for. */
+/** Refuses or holds a request that has arrived, or starts to place it. */
 export function handleArrived(
   state: BalancerState,
   event: RequestArrived,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const { table, stopAskedAt } = state;
-  if (stopAskedAt !== undefined && now - stopAskedAt > STOP_TAKES_MS) {
-    return answerAtOnce(event, 503, 'stopping', ELSEWHERE_MS);
+  const { table, shutdownStartedAt } = state;
+  if (shutdownStartedAt !== undefined && now - shutdownStartedAt > SHUTDOWN_ACCEPT_MS) {
+    return refuseAtOnce(event, 503, 'stopping', RETRY_ELSEWHERE_MS);
   }
-  if (isStarting(state, event, now)) return keepEarly(state, event);
-  if (table === undefined) return answerAtOnce(event, 503, 'notConfigured', STARTING_MS);
+  if (shouldHold(state, event, now)) return holdRequest(state, event);
+  if (table === undefined) return refuseAtOnce(event, 503, 'notConfigured', STARTUP_RETRY_MS);
   const route = findRoute(table, event.host, event.path);
-  if (route === undefined) return answerAtOnce(event, 404, 'noRoute');
+  if (route === undefined) return refuseAtOnce(event, 404, 'noRoute');
   const allowedMs = Math.min(event.allowedMs ?? Number.POSITIVE_INFINITY, route.timeoutMs);
   const sinceFirstMs =
-    event.allowedMs === undefined ? 0 : state.callerTimes.note(route.name, event.allowedMs);
+    event.allowedMs === undefined
+      ? 0
+      : state.callerTimes.recordTimeout(route.name, event.allowedMs);
   const service = pickService(route.services, context.random());
-  const journey: Journey = {
-    request: event.request,
+  const pending: PendingRequest = {
+    id: event.request,
     callerRequestId: event.callerRequestId,
     route,
     service,
-    lane: drawLane(state, service, route.name, context),
+    track: drawTrack(state, service, route.name, context),
     arrivedAt: event.arrivedAt,
     sinceFirstMs,
     dueAt: event.arrivedAt + route.objectiveMs - sinceFirstMs,
     deadlineAt: event.arrivedAt + allowedMs,
-    callerLeavesAt: event.arrivedAt + (event.allowedMs ?? route.timeoutMs),
+    callerTimeoutAt: event.arrivedAt + (event.allowedMs ?? route.timeoutMs),
     round: undefined,
-    rounds: 0,
+    roundCount: 0,
     nextRoundAt: 0,
-    sendings: new Set(),
-    tried: new Set(),
-    mayHaveRun: false,
-    isRepeatPaid: false,
+    attempts: new Set(),
+    triedTargets: new Set(),
+    hasPossiblyRun: false,
+    isRetryBudgeted: false,
     isHedged: false,
   };
-  state.journeys.set(journey.request, journey);
-  state.retries.noteRequest(journey.service, now);
-  return place(state, journey, context);
+  state.pendingRequests.set(pending.id, pending);
+  state.retryBudget.recordRequest(pending.service, now);
+  return placeRequest(state, pending, context);
 }
 
-/** The caller hung up before configuration and targets were known. */
-function forgetEarly(
+/** Removes a held request whose caller has disconnected. */
+function removeHeldRequest(
   state: BalancerState,
   { request, callerRequestId: id, arrivedAt }: RequestArrived,
   { now }: BalancerContext,
 ): BalancerEffect[] {
-  state.early.delete(request);
+  state.heldRequests.delete(request);
   const fields = { id, tookMs: Math.round(now - arrivedAt), tried: [] };
   return [{ kind: 'log', event: 'request.callerLeft', fields }];
 }
 
-/** The caller hung up: nothing more is done for it. */
+/** Stops all work for a caller that has disconnected. */
 export function handleCallerLeft(
   state: BalancerState,
   event: CallerLeft,
   context: BalancerContext,
 ): BalancerEffect[] {
-  const early = state.early.get(event.request);
-  if (early !== undefined) return forgetEarly(state, early, context);
-  const journey = state.journeys.get(event.request);
-  if (journey === undefined) return [];
+  const held = state.heldRequests.get(event.request);
+  if (held !== undefined) return removeHeldRequest(state, held, context);
+  const pending = state.pendingRequests.get(event.request);
+  if (pending === undefined) return [];
   const { now } = context;
-  const tookMs = Math.round(now - journey.arrivedAt);
-  const tried = [...journey.tried];
+  const tookMs = Math.round(now - pending.arrivedAt);
+  const tried = [...pending.triedTargets];
   return [
-    ...endJourney(state, journey, now),
+    ...removeRequest(state, pending, now),
     {
       kind: 'log',
       event: 'request.callerLeft',
-      fields: { id: journey.callerRequestId, route: journey.route.name, tookMs, tried },
+      fields: { id: pending.callerRequestId, route: pending.route.name, tookMs, tried },
     },
   ];
 }
 
-/** Whether a sending left nothing at the target that could run. */
-const HAS_NOT_RUN: Readonly<Record<AttemptEnd['kind'], boolean>> = {
+/** Whether an attempt with this result has certainly not run at the target. */
+const HAS_NOT_RUN: Readonly<Record<AttemptResult['kind'], boolean>> = {
   answered: false,
   rejected: true,
   misdirected: true,
@@ -121,56 +123,56 @@
   spoilt: false,
 };
 
-function deliver(
+function deliverAnswer(
   state: BalancerState,
-  journey: Journey,
-  sending: Sending,
+  pending: PendingRequest,
+  attempt: PendingAttempt,
   status: number,
   now: number,
 ): BalancerEffect[] {
-  const { request, route, arrivedAt } = journey;
+  const { id: request, route, arrivedAt } = pending;
   return [
-    { kind: 'deliver', request, attempt: sending.attempt },
-    ...endJourney(state, journey, now),
+    { kind: 'deliver', request, attempt: attempt.id },
+    ...removeRequest(state, pending, now),
     {
       kind: 'log',
       event: 'request.answered',
       fields: {
-        id: journey.callerRequestId,
+        id: pending.callerRequestId,
         status,
         route: route.name,
-        target: sending.target.entry.id,
+        target: attempt.target.entry.id,
         tookMs: Math.round(now - arrivedAt),
         objectiveMs: route.objectiveMs,
-        sinceFirstMs: journey.sinceFirstMs,
-        targetMs: Math.round(now - sending.sentAt),
-        expectedMs: Math.round(sending.expectedMs),
-        sendings: journey.tried.size,
+        sinceFirstMs: pending.sinceFirstMs,
+        targetMs: Math.round(now - attempt.sentAt),
+        expectedMs: Math.round(attempt.expectedMs),
+        sendings: pending.triedTargets.size,
       },
     },
   ];
 }
 
-/** Whether a request whose sending failed may be sent once more; takes it from the budget if so. */
-function mayRepeat(
+/** Whether a failed request may be sent again; takes the retry from the budget if so. */
+function tryTakeRetry(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   hasNotRun: boolean,
   now: number,
 ): boolean {
-  if (!hasNotRun && !journey.route.isIdempotent) return false;
-  if (journey.tried.size >= journey.route.maxTargets) return false;
-  return state.retries.take(journey.service, state.vms.length, now);
+  if (!hasNotRun && !pending.route.isIdempotent) return false;
+  if (pending.triedTargets.size >= pending.route.maxTargets) return false;
+  return state.retryBudget.take(pending.service, state.liveVms.length, now);
 }
 
-/** Why a request is refused that a target has not run. */
-function getRejection(end: AttemptEnd): 'rejected' | 'rejectedWithRoom' {
+/** Returns the reason to refuse a request that the target of this attempt has not run. */
+function getRejectionReason(end: AttemptResult): 'rejected' | 'rejectedWithRoom' {
   const reading = end.kind === 'rejected' ? end.reading : undefined;
   const hasRoom = reading !== undefined && reading.running < reading.slots;
   return hasRoom ? 'rejectedWithRoom' : 'rejected';
 }
 
-/** Delivers the answer of a sending that is over, sends the request again, or tells the caller. */
+/** Delivers the answer of a completed attempt, sends the request again, or answers it locally. */
 function endAttempt(
   state: BalancerState,
   event: AttemptEnded,
@@ -178,108 +180,114 @@
 ): BalancerEffect[] {
   const { now } = context;
   const { end } = event;
-  const sending = state.sendings.get(event.attempt);
-  const journey = sending && state.journeys.get(sending.request);
-  if (sending === undefined || journey === undefined) return [];
-  forgetSending(state, sending);
-  const effects = learn(state, journey, sending, end, now);
+  const attempt = state.pendingAttempts.get(event.attempt);
+  const pending = attempt && state.pendingRequests.get(attempt.request);
+  if (attempt === undefined || pending === undefined) return [];
+  removeAttempt(state, attempt);
+  const effects = learnFromAttempt(state, pending, attempt, end, now);
   const hasNotRun = HAS_NOT_RUN[end.kind];
-  if (!hasNotRun) journey.mayHaveRun = true;
-  leaveTrial(state, journey, now);
-  if (end.kind === 'unsent') journey.tried.delete(sending.target.entry.id);
-  const isFailure = end.kind !== 'answered' || end.status >= FIRST_FAILURE;
-  if (!isFailure) return [...effects, ...deliver(state, journey, sending, end.status, now)];
+  if (!hasNotRun) pending.hasPossiblyRun = true;
+  leaveTrial(state, pending, now);
+  if (end.kind === 'unsent') pending.triedTargets.delete(attempt.target.entry.id);
+  const isFailure = end.kind !== 'answered' || end.status >= MIN_FAILURE_STATUS;
+  if (!isFailure) return [...effects, ...deliverAnswer(state, pending, attempt, end.status, now)];
   effects.push({
     kind: 'log',
     event: 'attempt.failed',
     fields: {
-      id: journey.callerRequestId,
+      id: pending.callerRequestId,
       attempt: event.attempt,
-      target: sending.target.entry.id,
+      target: attempt.target.entry.id,
       end: end.kind,
       status: end.kind === 'answered' ? end.status : undefined,
-      tookMs: Math.round(now - sending.sentAt),
+      tookMs: Math.round(now - attempt.sentAt),
     },
   });
-  // The other sending of a hedged request may still bring the answer.
-  if (journey.sendings.size > 0) return effects;
-  if (end.kind === 'unsent' || mayRepeat(state, journey, hasNotRun, now)) {
-    journey.nextRoundAt = now;
-    return [...effects, ...place(state, journey, context)];
+  // Another open attempt may still bring the answer.
+  if (pending.attempts.size > 0) return effects;
+  if (end.kind === 'unsent' || tryTakeRetry(state, pending, hasNotRun, now)) {
+    pending.nextRoundAt = now;
+    return [...effects, ...placeRequest(state, pending, context)];
   }
   if (end.kind === 'answered') {
-    return [...effects, ...deliver(state, journey, sending, end.status, now)];
+    return [...effects, ...deliverAnswer(state, pending, attempt, end.status, now)];
   }
-  return [...effects, ...answerRefused(state, journey, getRejection(end), context)];
+  return [...effects, ...refuseOrFail(state, pending, getRejectionReason(end), context)];
 }
 
-/** A sending is over; what its target told of its load may be room for others. */
+/**
+ * Handles the end of an attempt; the load in its answer may show free slots for waiting requests.
+ */
 export function handleAttemptEnded(
   state: BalancerState,
   event: AttemptEnded,
   context: BalancerContext,
 ): BalancerEffect[] {
-  const service = state.sendings.get(event.attempt)?.target.entry.service;
+  const service = state.pendingAttempts.get(event.attempt)?.target.entry.service;
   const effects = endAttempt(state, event, context);
   if (service === undefined || !('reading' in event.end)) return effects;
-  return [...effects, ...placeWaiting(state, service, context)];
+  return [...effects, ...placeWaitingRequests(state, service, context)];
 }
 
-function endInTime(
+function handleDeadline(
   state: BalancerState,
-  journey: Journey,
+  pending: PendingRequest,
   context: BalancerContext,
 ): BalancerEffect[] {
-  const isOut = journey.sendings.size > 0;
-  for (const { target } of journey.sendings) noteOutcome(target, true, context.now);
-  if (isOut || journey.mayHaveRun) return answerOwn(state, journey, 'timedOut', context);
-  return answerOwn(state, journey, 'overloaded', context);
+  const isSent = pending.attempts.size > 0;
+  for (const { target } of pending.attempts) recordOutcome(target, true, context.now);
+  if (isSent || pending.hasPossiblyRun) return answerLocally(state, pending, 'timedOut', context);
+  return answerLocally(state, pending, 'overloaded', context);
 }
 
 /**
- * Starts a second sending of an idempotent request beside one that takes too long.
+ * Starts a hedge: a second attempt of an idempotent request whose first one takes too long.
  *
- * A target that hangs or has turned slow gives no sign but the time that passes; seen as requests
- * that miss their objective while other targets stand idle.
+ * A target that hangs or has become slow shows this only by the time it takes. Without hedges,
+ * requests miss their objective while other targets are idle.
  */
-function hedge(state: BalancerState, journey: Journey, context: BalancerContext): BalancerEffect[] {
-  const { route, tried, service } = journey;
+function startHedge(
+  state: BalancerState,
+  pending: PendingRequest,
+  context: BalancerContext,
+): BalancerEffect[] {
+  const { route, triedTargets, service } = pending;
   const { now } = context;
-  leaveTrial(state, journey, now);
-  if (!route.isIdempotent || tried.size >= route.maxTargets) return [];
-  if (!journey.isHedged) {
-    if (!state.retries.take(service, state.vms.length, now, HEDGE_BUDGET_SHARE)) return [];
-    journey.isHedged = true;
+  leaveTrial(state, pending, now);
+  if (!route.isIdempotent || triedTargets.size >= route.maxTargets) return [];
+  if (!pending.isHedged) {
+    if (!state.retryBudget.take(service, state.liveVms.length, now, HEDGE_BUDGET_SHARE)) return [];
+    pending.isHedged = true;
   }
-  return place(state, journey, context);
+  return placeRequest(state, pending, context);
 }
 
-/** A time that was asked for has come: a round is over, a sending is late, or time has run out. */
+/** Handles a wake-up: a round has ended, an attempt is overdue, or the deadline has passed. */
 export function handleWake(
   state: BalancerState,
   event: WakeDue,
   context: BalancerContext,
 ): BalancerEffect[] {
   const { now } = context;
-  const early = state.early.get(event.request);
-  if (early !== undefined) {
-    state.early.delete(event.request);
-    return handleArrived(state, early, context);
+  const held = state.heldRequests.get(event.request);
+  if (held !== undefined) {
+    state.heldRequests.delete(event.request);
+    return handleArrived(state, held, context);
   }
-  const journey = state.journeys.get(event.request);
-  if (journey === undefined) return [];
-  if (now >= journey.deadlineAt) return endInTime(state, journey, context);
-  if (journey.sendings.size === 0) return place(state, journey, context);
-  let isLate = false;
-  for (const sending of journey.sendings) {
-    if (sending.isOverdue || now < sending.overdueAt) continue;
-    sending.isOverdue = true;
-    isLate = true;
-    noteVersionAnswer(state, journey, sending, true);
-    noteSlowness(sending.target, (now - sending.sentAt) / Math.max(1, sending.expectedMs), now);
+  const pending = state.pendingRequests.get(event.request);
+  if (pending === undefined) return [];
+  if (now >= pending.deadlineAt) return handleDeadline(state, pending, context);
+  if (pending.attempts.size === 0) return placeRequest(state, pending, context);
+  let hasNewOverdue = false;
+  for (const attempt of pending.attempts) {
+    if (attempt.isOverdue || now < attempt.overdueAt) continue;
+    attempt.isOverdue = true;
+    hasNewOverdue = true;
+    recordVersionAnswer(state, pending, attempt, true);
+    recordSlowness(attempt.target, (now - attempt.sentAt) / Math.max(1, attempt.expectedMs), now);
   }
-  const wake: BalancerEffect = { kind: 'wake', request: journey.request, at: getNextWake(journey) };
-  if (journey.sendings.size > 1 || !(isLate || journey.round !== undefined)) return [wake];
-  const effects = hedge(state, journey, context);
+  const wake: BalancerEffect = { kind: 'wake', request: pending.id, at: getNextWakeAt(pending) };
+  if (pending.attempts.size > 1 || !(hasNewOverdue || pending.round !== undefined)) return [wake];
+  const effects = startHedge(state, pending, context);
   return effects.some(({ kind }) => kind === 'wake') ? effects : [...effects, wake];
 }
--- a/src/balancing/starting.ts
+++ b/src/balancing/starting.ts
@@ -4,65 +4,70 @@
 import { findRoute } from './routes.js';
 
 /**
- * A process that has started knows configuration and targets by then, if the store or another entry
- * VM answers at all; in milliseconds after its start.
+ * How long after its start a process holds requests, in milliseconds. By then it knows
+ * configuration and targets if the store or another entry VM answers at all.
  */
-const START_MS = 500;
+const MAX_STARTUP_MS = 500;
 
 /**
- * While some targets are not read yet, a service is served by as many of them, so that VMs which start
- * together don't bury the first few.
+ * Minimum number of known targets per service while the list is incomplete, so that VMs which start
+ * together do not overload the first few targets.
  */
-const ENOUGH_TARGETS = 8;
+const MIN_TARGETS_WHILE_READING = 8;
 
-/** Whether the targets that were read so far are enough for a request. */
-function hasTargets(state: BalancerState, { host, path }: RequestArrived): boolean {
-  const { table, targets, byService, isPartial } = state;
+/** Whether enough targets have been read to place a request. */
+function hasEnoughTargets(state: BalancerState, { host, path }: RequestArrived): boolean {
+  const { table, targets, targetsByService, isTargetListPartial } = state;
   if (table === undefined || targets.size === 0) return false;
-  if (!isPartial) return true;
+  if (!isTargetListPartial) return true;
   const services = findRoute(table, host, path)?.services ?? [];
-  return services.every(({ service }) => (byService.get(service)?.length ?? 0) >= ENOUGH_TARGETS);
+  return services.every(
+    ({ service }) => (targetsByService.get(service)?.length ?? 0) >= MIN_TARGETS_WHILE_READING,
+  );
 }
 
 /**
- * Whether a request waits until this process knows configuration and targets.
+ * Whether a request is held until this process knows configuration and targets.
  *
- * This answers to all entry VMs coming back at once, after a loss of power. Each accepts callers
- * before it has read what it needs, a matter of some 200 ms, and there is no other VM to go to.
- * Refused, callers come back when their objective is over. A process that knows nothing after
- * `START_MS` most likely can't be told anything now, and refuses at once.
- * @param state - What is known.
+ * After a power loss all entry VMs restart at once, and no other VM can serve the callers. Each VM
+ * accepts callers some 200 ms before it has read what it needs. If it refused them, they would
+ * retry only after their objective has passed. A process that knows nothing after `MAX_STARTUP_MS`
+ * can most likely reach neither store nor peers, and refuses requests at once.
+ * @param state - State of this entry VM.
  * @param event - The request.
  * @param now - Monotonic milliseconds.
  */
-export function isStarting(state: BalancerState, event: RequestArrived, now: number): boolean {
-  if (now >= state.startedAt + START_MS) return false;
+export function shouldHold(state: BalancerState, event: RequestArrived, now: number): boolean {
+  if (now >= state.startedAt + MAX_STARTUP_MS) return false;
   const { versions } = state;
-  return !hasTargets(state, event) || (versions.isUsed && !versions.isKnown);
+  return !hasEnoughTargets(state, event) || (versions.isEnabled && !versions.hasReadOrders);
 }
 
 /**
- * Keeps a request until configuration and targets are known, or the start has taken too long.
- * @param state - What is known.
+ * Holds a request until configuration and targets are known, or `MAX_STARTUP_MS` has passed.
+ * @param state - State of this entry VM.
  * @param event - The request.
  */
-export function keepEarly(state: BalancerState, event: RequestArrived): BalancerEffect[] {
+export function holdRequest(state: BalancerState, event: RequestArrived): BalancerEffect[] {
   const { request, callerRequestId: id, host, path } = event;
-  state.early.set(request, event);
+  state.heldRequests.set(request, event);
   const fields = { id, host, path, configuration: state.table?.version };
   return [
-    { kind: 'wake', request, at: state.startedAt + START_MS },
+    { kind: 'wake', request, at: state.startedAt + MAX_STARTUP_MS },
     { kind: 'log', event: 'request.kept', fields },
   ];
 }
 
 /**
- * Takes out the requests that need not wait any longer, in the order in which they came.
- * @param state - What is known.
- * @param context - Time and chance.
+ * Removes and returns the requests that need not be held any longer, in order of arrival.
+ * @param state - State of this entry VM.
+ * @param context - Clock and random source.
  */
-export function takeEarly(state: BalancerState, { now }: BalancerContext): RequestArrived[] {
-  const events = [...state.early.values()].filter((event) => !isStarting(state, event, now));
-  for (const { request } of events) state.early.delete(request);
-  return events;
+export function releaseHeldRequests(
+  state: BalancerState,
+  { now }: BalancerContext,
+): RequestArrived[] {
+  const ready = [...state.heldRequests.values()].filter((event) => !shouldHold(state, event, now));
+  for (const { request } of ready) state.heldRequests.delete(request);
+  return ready;
 }
