--- a/src/balancing/versions.ts
+++ b/src/balancing/versions.ts
@@ -2,34 +2,34 @@
 import type { BalancerContext, BalancerState } from './BalancerState.js';
 import type { BalancerEffect } from './effects.js';
 import type { RolloutGuided, RolloutsRead } from './events.js';
-import type { Journey, Sending } from './Journey.js';
+import type { PendingRequest, PendingAttempt } from './PendingRequest.js';
 import type { AnswerCounts } from '../rollouts/index.js';
 import type { ServiceRollout, VersionStage } from './ServiceVersions.js';
 import { getRouteShare, getStage, getTargetsInUse } from './ServiceVersions.js';
 import type { TargetRecord } from './TargetRecord.js';
 
 /**
- * Targets of a version that a service did not have are left alone for so long while no order is known
- * that names it, in milliseconds: they register as it is given, and word of them may come sooner.
+ * How long targets of a version that is new to their service get no requests while no order names
+ * it, in milliseconds. They register when the order is given, and may be read before it.
  */
-const UNORDERED_HOLD_MS = 2_500;
+const NEW_VERSION_HOLD_MS = 2_500;
 
-/** Which version a request is for: the one in use, or the one that a rollout tries. */
-export type VersionLane = 'usual' | 'tried';
+/** Which version a request is for: the current one, or the one that is being rolled out. */
+export type VersionTrack = 'usual' | 'tried';
 
 /**
- * Draws whether a request is tried on the version that its service is moving to.
- * @param state - What is known.
- * @param service - Service that the request goes to.
+ * Draws whether a request is sent to the version that its service is being moved to.
+ * @param state - State of this entry VM.
+ * @param service - Service of the request.
  * @param route - Name of its route.
- * @param context - Time and chance.
+ * @param context - Clock and random source.
  */
-export function drawLane(
+export function drawTrack(
   { versions }: BalancerState,
   service: ServiceName,
   route: string,
   { now, random }: BalancerContext,
-): VersionLane {
+): VersionTrack {
   const rollout = versions.rollouts.get(service);
   if (rollout === undefined) return 'usual';
   const stage = getStage(rollout, now);
@@ -38,72 +38,78 @@
   return random() < getRouteShare(rollout, route) ? 'tried' : 'usual';
 }
 
-/** The version that most of a service's targets have, the earlier one by name if two have as many. */
-function getMainVersion(records: readonly TargetRecord[]): string | undefined {
+/**
+ * Returns the version of most of a service's targets; of two equally common ones the first by name.
+ */
+function getMostCommonVersion(records: readonly TargetRecord[]): string | undefined {
   const counts = new Map<string, number>();
   for (const { entry } of records) counts.set(entry.version, (counts.get(entry.version) ?? 0) + 1);
   const sorted = [...counts].sort(([a, m], [b, n]) => n - m || (a < b ? -1 : 1));
   return sorted[0]?.[0];
 }
 
-/** Targets of versions that no order is about. */
-function selectUnordered(
-  { versions, byService }: BalancerState,
+/** Selects the targets to use if the service has no rollout order. */
+function selectWithoutOrder(
+  { versions, targetsByService }: BalancerState,
   service: ServiceName,
   usable: readonly TargetRecord[],
   now: number,
 ): readonly TargetRecord[] {
-  if (!versions.isKnown) {
-    const main = getMainVersion(byService.get(service) ?? []);
-    return usable.filter(({ entry }) => entry.version === main);
+  if (!versions.hasReadOrders) {
+    const mainVersion = getMostCommonVersion(targetsByService.get(service) ?? []);
+    return usable.filter(({ entry }) => entry.version === mainVersion);
   }
   return usable.filter(
-    ({ entry, heldUntil }) =>
-      heldUntil <= now && !versions.barred.has(`${service}|${entry.version}`),
+    ({ entry, versionHeldUntil }) =>
+      versionHeldUntil <= now && !versions.rolledBackVersions.has(`${service}|${entry.version}`),
   );
 }
 
-/** The new ones of some targets if there are any, else the old ones. */
-function preferNew(
+/** Returns the usable targets of the new version, or those of other versions if there are none. */
+function preferNewVersion(
   usable: readonly TargetRecord[],
   { order }: ServiceRollout,
   inUse?: ReadonlySet<TargetId>,
 ): readonly TargetRecord[] {
-  const fresh = usable.filter(
+  const onNewVersion = usable.filter(
     ({ entry }) => entry.version === order.version && inUse?.has(entry.id) !== false,
   );
-  return fresh.length > 0 ? fresh : usable.filter(({ entry }) => entry.version !== order.version);
+  return onNewVersion.length > 0
+    ? onNewVersion
+    : usable.filter(({ entry }) => entry.version !== order.version);
 }
 
 /**
- * Of the targets that a request may go to, those whose version it may go to.
- * @param state - What is known.
- * @param journey - The request.
- * @param usable - Targets of its service.
+ * Selects those of the usable targets whose version a request may be sent to.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param usable - Usable targets of its service.
  * @param now - Monotonic milliseconds.
  */
-export function selectVersion(
+export function selectByVersion(
   state: BalancerState,
-  { service, lane }: Pick<Journey, 'service' | 'lane'>,
+  { service, track }: Pick<PendingRequest, 'service' | 'track'>,
   usable: readonly TargetRecord[],
   now: number,
 ): readonly TargetRecord[] {
-  const { versions, byService } = state;
-  if (!versions.isUsed) return usable;
+  const { versions, targetsByService } = state;
+  if (!versions.isEnabled) return usable;
   const rollout = versions.rollouts.get(service);
-  if (rollout === undefined) return selectUnordered(state, service, usable, now);
+  if (rollout === undefined) return selectWithoutOrder(state, service, usable, now);
   const { version } = rollout.order;
   switch (getStage(rollout, now)) {
     case 'completed': {
-      // Old targets are about to be stopped without notice, or were.
-      const hasNew = (byService.get(service) ?? []).some(({ entry }) => entry.version === version);
+      // Targets of other versions may stop at any time without notice.
+      const hasNew = (targetsByService.get(service) ?? []).some(
+        ({ entry }) => entry.version === version,
+      );
       return hasNew ? usable.filter(({ entry }) => entry.version === version) : usable;
     }
     case 'moved':
-      return preferNew(usable, rollout);
+      return preferNewVersion(usable, rollout);
     case 'trial':
     case 'moving':
-      if (lane === 'tried') return preferNew(usable, rollout, getTargetsInUse(rollout));
+      if (track === 'tried') return preferNewVersion(usable, rollout, getTargetsInUse(rollout));
       break;
     default:
   }
@@ -111,113 +117,118 @@
 }
 
 /**
- * Whether a request of a trial goes to the fullest target with room. Every second one does, so that
- * some targets get their full load, while the others show whether it is the version or one target.
- * @param state - What is known.
- * @param journey - The request.
+ * Whether a request of a trial is sent to the fullest target with free slots. Every second one is,
+ * so that some targets run at full load while the others show whether a fault lies in the version
+ * or in one target.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
  * @param now - Monotonic milliseconds.
  */
-export function isFilling(
+export function shouldFillTargets(
   { versions }: BalancerState,
-  { request, service, lane }: Pick<Journey, 'request' | 'service' | 'lane'>,
+  { id, service, track }: Pick<PendingRequest, 'id' | 'service' | 'track'>,
   now: number,
 ): boolean {
-  if (lane !== 'tried' || request % 2 === 0) return false;
+  if (track !== 'tried' || id % 2 === 0) return false;
   const rollout = versions.rollouts.get(service);
   return rollout !== undefined && getStage(rollout, now) === 'trial';
 }
 
 /**
- * Has a request go to the usual version from now on, unless all requests go to the new one.
- * @param state - What is known.
- * @param journey - The request; changed here.
+ * Moves a request to the current version, unless all requests are sent to the new one.
+ * @param state - State of this entry VM.
+ * @param pending - The request; changed here.
  * @param now - Monotonic milliseconds.
  */
-export function leaveTrial({ versions }: BalancerState, journey: Journey, now: number): void {
-  const rollout = versions.rollouts.get(journey.service);
+export function leaveTrial(
+  { versions }: BalancerState,
+  pending: PendingRequest,
+  now: number,
+): void {
+  const rollout = versions.rollouts.get(pending.service);
   if (rollout === undefined) return;
   const stage = getStage(rollout, now);
-  if (stage !== 'moved' && stage !== 'completed') journey.lane = 'usual';
+  if (stage !== 'moved' && stage !== 'completed') pending.track = 'usual';
 }
 
 /**
- * Whether a sending goes to the version that a running order is about: what such targets take says
- * nothing of the service's usual ones.
- * @param state - What is known.
+ * Whether a target has the version of a rollout that is not completed. The times of such targets
+ * are not used to learn about the service.
+ * @param state - State of this entry VM.
  * @param record - The target.
  */
-export function isOnTrial({ versions }: BalancerState, { entry }: TargetRecord): boolean {
+export function isInRollout({ versions }: BalancerState, { entry }: TargetRecord): boolean {
   const rollout = versions.rollouts.get(entry.service);
   return rollout?.order.version === entry.version && rollout.order.state !== 'completed';
 }
 
 /**
- * Counts one answer for or against a version that is being tried.
- * @param state - What is known.
- * @param journey - The request.
- * @param sending - The sending that was answered, or takes too long.
- * @param isBad - Whether it failed or takes too long.
+ * Counts one answer for or against a version that is being rolled out.
+ * @param state - State of this entry VM.
+ * @param pending - The request.
+ * @param attempt - The attempt that was answered, or is overdue.
+ * @param isBad - Whether it failed or is overdue.
  */
-export function noteVersionAnswer(
+export function recordVersionAnswer(
   state: BalancerState,
-  { route }: Journey,
-  { target, basis }: Sending,
+  { route }: PendingRequest,
+  { target, load }: PendingAttempt,
   isBad: boolean,
 ): void {
   const rollout = state.versions.rollouts.get(target.entry.service);
   // A cold target is slow whatever its version.
-  if (rollout === undefined || (basis.isCold && isBad)) return;
+  if (rollout === undefined || (load.isCold && isBad)) return;
   const isNew = target.entry.version === rollout.order.version;
-  const place = Math.max(0, rollout.newTargets.indexOf(target.entry.id));
-  rollout.evidence.recordAnswer(route.name, isNew ? place : undefined, isBad);
+  const targetIndex = Math.max(0, rollout.newTargets.indexOf(target.entry.id));
+  rollout.evidence.recordAnswer(route.name, isNew ? targetIndex : undefined, isBad);
 }
 
 /**
- * Leaves targets alone for a while that have just become known, if their version is new to the service.
- * A process that has just started takes the version that most targets have for the usual one.
- * @param state - What is known, with targets by service as they were before.
+ * Holds back newly registered targets whose version is new to their service. For a service without
+ * known targets, the most common version of the list counts as known.
+ * @param state - State of this entry VM, with targets by service as they were before.
  * @param groups - Targets by service as they are now.
- * @param added - Ids of those that have just become known.
+ * @param added - Ids of the newly registered targets.
  * @param now - Monotonic milliseconds.
  */
 export function holdNewVersions(
-  { versions, byService }: BalancerState,
+  { versions, targetsByService }: BalancerState,
   groups: ReadonlyMap<ServiceName, readonly TargetRecord[]>,
   added: ReadonlySet<TargetId>,
   now: number,
 ): void {
-  if (!versions.isUsed) return;
+  if (!versions.isEnabled) return;
   for (const [service, group] of groups) {
-    const before = byService.get(service) ?? [];
-    const known = new Set(before.map(({ entry }) => entry.version));
-    if (known.size === 0) known.add(getMainVersion(group) ?? '');
+    const previous = targetsByService.get(service) ?? [];
+    const knownVersions = new Set(previous.map(({ entry }) => entry.version));
+    if (knownVersions.size === 0) knownVersions.add(getMostCommonVersion(group) ?? '');
     for (const record of group) {
-      const isNew = added.has(record.entry.id) && !known.has(record.entry.version);
-      if (isNew) record.heldUntil = now + UNORDERED_HOLD_MS;
+      const isNew = added.has(record.entry.id) && !knownVersions.has(record.entry.version);
+      if (isNew) record.versionHeldUntil = now + NEW_VERSION_HOLD_MS;
     }
   }
 }
 
-/** Requests at targets of other versions than the one that a service moves to. */
-export function countOldRequests(state: BalancerState, { order }: ServiceRollout): number {
+/** Counts open requests at targets of other versions than the one being rolled out. */
+export function countOldVersionRequests(state: BalancerState, { order }: ServiceRollout): number {
   let count = 0;
-  for (const { entry, outstanding } of state.byService.get(order.service) ?? []) {
+  for (const { entry, outstanding } of state.targetsByService.get(order.service) ?? []) {
     if (entry.version !== order.version) count += outstanding;
   }
   return count;
 }
 
-/** What metrics tell of a rollout. */
-export interface RolloutFigures {
+/** State of a rollout for metrics. */
+export interface RolloutStats {
   readonly version: string;
   readonly stage: VersionStage;
-  /** Share of the requests that go to the new version. */
+  /** Share of the requests that are sent to the new version. */
   readonly share: number;
-  /** Answers of old and of new targets. */
+  /** Answers from targets of old versions and of the new one. */
   readonly counts: Readonly<Record<'old' | 'new', AnswerCounts>>;
 }
 
-const ALL_OR_NONE: Readonly<Partial<Record<VersionStage, number>>> = {
+const FIXED_SHARES: Readonly<Partial<Record<VersionStage, number>>> = {
   paused: 0,
   stopped: 0,
   moved: 1,
@@ -225,33 +236,33 @@
 };
 
 /**
- * Rollouts that this VM knows of, by service.
- * @param state - What is known.
+ * Returns the rollouts that this VM knows, by service.
+ * @param state - State of this entry VM.
  * @param now - Monotonic milliseconds.
  */
-export function getRolloutFigures(
+export function getRolloutStats(
   { versions }: BalancerState,
   now: number,
-): ReadonlyMap<ServiceName, RolloutFigures> {
-  const figures = new Map<ServiceName, RolloutFigures>();
+): ReadonlyMap<ServiceName, RolloutStats> {
+  const figures = new Map<ServiceName, RolloutStats>();
   for (const [service, rollout] of versions.rollouts) {
     const stage = getStage(rollout, now);
-    const share = ALL_OR_NONE[stage] ?? rollout.guidance?.share ?? 0;
+    const share = FIXED_SHARES[stage] ?? rollout.guidance?.share ?? 0;
     const { version } = rollout.order;
     figures.set(service, { version, stage, share, counts: rollout.evidence.versionTotals });
   }
   return figures;
 }
 
-/** The orders were read. */
+/** Applies the rollout orders that were read. */
 export function handleRollouts(
   state: BalancerState,
   { orders }: RolloutsRead,
   { now }: BalancerContext,
 ): BalancerEffect[] {
-  const changed = state.versions.take(orders, now);
+  const changed = state.versions.applyOrders(orders, now);
   return changed.map(({ order, newTargets }) => {
-    state.versions.sortNew(order.service, state.byService.get(order.service) ?? []);
+    state.versions.sortNewTargets(order.service, state.targetsByService.get(order.service) ?? []);
     const { id, service, version, durationMs, state: rolloutState = 'ordered' } = order;
     const fields = { order: id, service, version, durationMs, state: rolloutState };
     return {
@@ -262,7 +273,7 @@
   });
 }
 
-/** A coordinator told how far a rollout is. */
+/** Applies a coordinator's guidance on a rollout. */
 export function handleGuidance(
   state: BalancerState,
   { order, guidance, until }: RolloutGuided,
--- a/src/config/GatewaySettings.ts
+++ b/src/config/GatewaySettings.ts
@@ -1,10 +1,10 @@
-import type { BalancingSettings, VmEntry } from '../balancing/index.js';
+import type { BalancingSettings, VmAnnouncement } from '../balancing/index.js';
 
 import type { ListenAddress } from './EntrySettings.js';
 
 /** What a gateway's settings file says, checked. */
 export interface GatewaySettings {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   /** Whether all VMs start together for the first time. */
   readonly isFirstStart: boolean;
   readonly listen: {
--- a/src/fleet/CoordinatorChoice.ts
+++ b/src/fleet/CoordinatorChoice.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import { sortVmsForTree } from './FollowTree.js';
 
 /** VMs that coordinate a rollout: it continues while up to two of them are down or unreachable. */
@@ -24,18 +24,18 @@
   private readonly unanswered = new Map<string, UnansweredReport>();
 
   /** @internal */
-  private sortedVms: readonly VmEntry[] = [];
+  private sortedVms: readonly VmAnnouncement[] = [];
 
   /** @param self - This VM. */
-  constructor(private readonly self: VmEntry) {}
+  constructor(private readonly self: VmAnnouncement) {}
 
   /**
    * Replaces the list of candidates; this VM is always one of them.
    * @param vms - All announced VMs.
    */
-  update(vms: Iterable<VmEntry>): void {
+  update(vms: Iterable<VmAnnouncement>): void {
     const byName = new Map([...vms, this.self].map((vm) => [vm.name, vm]));
-    this.sortedVms = sortVmsForTree([...byName.values()]) as readonly VmEntry[];
+    this.sortedVms = sortVmsForTree([...byName.values()]) as readonly VmAnnouncement[];
   }
 
   /** Position of this VM in the order; 0 is the first. */
--- a/src/fleet/FeedClient.ts
+++ b/src/fleet/FeedClient.ts
@@ -1,7 +1,7 @@
 import type { Socket } from 'node:net';
 import { connect } from 'node:net';
 
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { Clock } from '../timing/index.js';
 import type { FeedMessage } from './feedMessages.js';
 import { FeedReader, writeFeedMessage } from './feedMessages.js';
@@ -43,7 +43,7 @@
     private readonly view: FleetView,
     private readonly clock: Clock,
     private readonly onEnd: (reason: string) => void,
-    announce?: VmEntry,
+    announce?: VmAnnouncement,
   ) {
     this.startedAt = clock.now();
     this.lastReceivedAt = this.startedAt;
--- a/src/fleet/FeedServer.ts
+++ b/src/fleet/FeedServer.ts
@@ -1,7 +1,7 @@
 import type { Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { ListenAddress } from '../config/index.js';
 import type { EventLog } from '../logging/EventLog.js';
 import type { FollowRequest } from './feedMessages.js';
@@ -35,7 +35,7 @@
   constructor(
     private readonly view: FleetView,
     private readonly log: EventLog,
-    private readonly onAnnounce: (vm: VmEntry) => void = () => {},
+    private readonly onAnnounce: (vm: VmAnnouncement) => void = () => {},
   ) {
     this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
     this.server.on('error', (err) => log.write('feed.listenFailed', { message: err.message }));
--- a/src/fleet/FleetMembership.ts
+++ b/src/fleet/FleetMembership.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { EventLog } from '../logging/EventLog.js';
 import { sleep } from '../timing/index.js';
 import type { AnnouncementParts } from './askSeedsToAnnounce.js';
@@ -137,7 +137,7 @@
   }
 
   /** Announces `ownEntries` together with the other VMs that this one has announced. @internal */
-  private announce(ownEntries: readonly VmEntry[]): Promise<void> {
+  private announce(ownEntries: readonly VmAnnouncement[]): Promise<void> {
     const { self, store, view } = this.parts;
     const previous = view.rosters.get(self.name);
     const others = (previous?.vms ?? []).filter(({ name }) => name !== self.name);
--- a/src/fleet/FleetStore.ts
+++ b/src/fleet/FleetStore.ts
@@ -1,10 +1,10 @@
-import type { RoutingTable, TargetEntry, VmRoster } from '../balancing/index.js';
+import type { RoutingTable, TargetRegistration, VmRoster } from '../balancing/index.js';
 import type { RolloutOrder, RolloutState } from '../rollouts/index.js';
 
 /** Type of the objects in each section of the store; a section is read and watched as a whole. */
 export interface SectionValues {
   readonly configuration: RoutingTable;
-  readonly targets: TargetEntry;
+  readonly targets: TargetRegistration;
   /** Availability zones that operators have taken out of service; an object has only a name. */
   readonly zonesOut: true;
   /** Orders to move a service to another version, one per service. */
--- a/src/fleet/FleetSync.ts
+++ b/src/fleet/FleetSync.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { ListenAddress } from '../config/index.js';
 import type { EventLog } from '../logging/EventLog.js';
 import type { Clock, TimerService } from '../timing/index.js';
@@ -30,7 +30,7 @@
 
 /** Dependencies of `FleetSync`. */
 export interface FleetSyncParts {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   readonly listen: ListenAddress;
   /** Peer addresses to follow while no other VM is known. */
   readonly seeds: readonly string[];
--- a/src/fleet/FleetView.ts
+++ b/src/fleet/FleetView.ts
@@ -1,4 +1,9 @@
-import type { RoutingTable, TargetEntry, VmEntry, VmRoster } from '../balancing/index.js';
+import type {
+  RoutingTable,
+  TargetRegistration,
+  VmAnnouncement,
+  VmRoster,
+} from '../balancing/index.js';
 import type { RolloutOrder } from '../rollouts/index.js';
 import type { Clock } from '../timing/index.js';
 import type { Section, StoredItem } from './FleetStore.js';
@@ -54,7 +59,7 @@
   table: RoutingTable | undefined;
 
   /** Registered targets, by name. */
-  readonly targets = new Map<string, TargetEntry>();
+  readonly targets = new Map<string, TargetRegistration>();
 
   /** Availability zones that operators have taken out of service. */
   readonly zonesOut = new Map<string, true>();
@@ -66,7 +71,7 @@
   readonly rosters = new Map<string, VmRoster>();
 
   /** All announced entry VMs, by name. */
-  vms: ReadonlyMap<string, VmEntry> = new Map();
+  vms: ReadonlyMap<string, VmAnnouncement> = new Map();
 
   /** Revision that each section is at. @internal */
   private readonly revisions = new Map<Section, number>();
--- a/src/fleet/NeighbourMonitor.ts
+++ b/src/fleet/NeighbourMonitor.ts
@@ -1,7 +1,7 @@
 import type { Socket } from 'node:dgram';
 import { createSocket } from 'node:dgram';
 
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { ListenAddress } from '../config/index.js';
 import { hashText } from '../core/hash.js';
 import type { EventLog } from '../logging/EventLog.js';
@@ -32,7 +32,7 @@
 
 /** Dependencies of `NeighbourMonitor`. */
 export interface NeighbourMonitorParts {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   readonly listen: ListenAddress;
   readonly clock: Clock;
   readonly log: EventLog;
@@ -60,7 +60,7 @@
   private readonly lastPingAt = new Map<string, number>();
 
   /** @internal */
-  private neighbours: readonly VmEntry[] = [];
+  private neighbours: readonly VmAnnouncement[] = [];
 
   /** @internal */
   private lastReadyNames = '';
@@ -85,7 +85,7 @@
    * Selects the neighbours again, and pings new ones at once.
    * @param vms - All entry VMs that have announced themselves.
    */
-  update(vms: Iterable<VmEntry>): void {
+  update(vms: Iterable<VmAnnouncement>): void {
     const { self, clock } = this.parts;
     const now = clock.now();
     this.neighbours = [...vms]
@@ -107,7 +107,7 @@
   }
 
   /** Neighbours that are up and accept callers. */
-  getReadyVms(): VmEntry[] {
+  getReadyVms(): VmAnnouncement[] {
     const now = this.parts.clock.now();
     return this.neighbours.filter(({ peers }) => {
       const state = this.states.get(peers);
--- a/src/fleet/Registrar.ts
+++ b/src/fleet/Registrar.ts
@@ -1,4 +1,4 @@
-import type { VmEntry, VmRoster } from '../balancing/index.js';
+import type { VmAnnouncement, VmRoster } from '../balancing/index.js';
 import type { EventLog } from '../logging/EventLog.js';
 import type { Clock } from '../timing/index.js';
 import { sleep } from '../timing/index.js';
@@ -13,7 +13,7 @@
 
 /** Dependencies of `Registrar`. */
 export interface RegistrarParts {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   readonly store: FleetStore;
   readonly view: FleetView;
   readonly clock: Clock;
@@ -30,7 +30,7 @@
  */
 export class Registrar {
   /** VMs that asked to be announced, by name. @internal */
-  private readonly requested = new Map<string, VmEntry>();
+  private readonly requested = new Map<string, VmAnnouncement>();
 
   /** @internal */
   private isBatchPending = false;
@@ -42,7 +42,7 @@
    * Accepts the request of another VM to be announced; it is announced with the next batch.
    * @param vm - The VM.
    */
-  register(vm: VmEntry): void {
+  register(vm: VmAnnouncement): void {
     this.requested.set(vm.name, vm);
     if (this.isBatchPending) return;
     this.isBatchPending = true;
--- a/src/fleet/RolloutSync.ts
+++ b/src/fleet/RolloutSync.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { EventLog } from '../logging/EventLog.js';
 import type {
   EvidenceCounts,
@@ -32,7 +32,7 @@
 
 /** Dependencies of `RolloutSync`. */
 export interface RolloutSyncParts {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   /** Identifies this run of this VM's process. */
   readonly run: string;
   readonly store: FleetStore;
--- a/src/fleet/askSeedsToAnnounce.ts
+++ b/src/fleet/askSeedsToAnnounce.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import { hashText } from '../core/hash.js';
 import type { Clock } from '../timing/index.js';
 import { sleep } from '../timing/index.js';
@@ -17,7 +17,7 @@
 
 /** Dependencies of `askSeedsToAnnounce`. */
 export interface AnnouncementParts {
-  readonly self: VmEntry;
+  readonly self: VmAnnouncement;
   readonly view: FleetView;
   readonly clock: Clock;
   /** Peer addresses of the VMs that the settings name. */
--- a/src/fleet/feedMessages.ts
+++ b/src/fleet/feedMessages.ts
@@ -1,6 +1,6 @@
 import { constants, deflateRawSync, inflateRawSync } from 'node:zlib';
 
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { Section } from './FleetStore.js';
 import type { Confirmation, SectionChange } from './FleetView.js';
 
@@ -11,7 +11,7 @@
   /** Version of its configuration; undefined if it has none. */
   readonly version?: number;
   /** The follower itself, if it asks to be announced in the store. */
-  readonly announce?: VmEntry;
+  readonly announce?: VmAnnouncement;
 }
 
 /** Message from a VM to its followers. */
--- a/src/fleet/mergeRosters.ts
+++ b/src/fleet/mergeRosters.ts
@@ -1,4 +1,4 @@
-import type { VmEntry, VmRoster } from '../balancing/index.js';
+import type { VmAnnouncement, VmRoster } from '../balancing/index.js';
 
 /**
  * Merges rosters into all announced entry VMs, by name.
@@ -10,8 +10,8 @@
  * @example
  * mergeRosters(new Map([['vm-1', { vms: [vm1, vm2] }]])).has('vm-2'); // true
  */
-export function mergeRosters(rosters: ReadonlyMap<string, VmRoster>): Map<string, VmEntry> {
-  const merged = new Map<string, VmEntry>();
+export function mergeRosters(rosters: ReadonlyMap<string, VmRoster>): Map<string, VmAnnouncement> {
+  const merged = new Map<string, VmAnnouncement>();
   const announcers = [...rosters.keys()].sort();
   for (const announcer of announcers) {
     for (const vm of rosters.get(announcer)?.vms ?? []) {
--- a/src/gateway/GatewayMetrics.ts
+++ b/src/gateway/GatewayMetrics.ts
@@ -1,6 +1,11 @@
 import type { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-import type { LearntCurve, LogEffect, RolloutFigures, TargetStanding } from '../balancing/index.js';
+import type {
+  SlowdownEstimates,
+  LogEffect,
+  RolloutStats,
+  TargetStanding,
+} from '../balancing/index.js';
 import { TARGET_STANDINGS } from '../balancing/index.js';
 
 /** Observations buffered until prom-client is loaded; beyond that the oldest are discarded. */
@@ -43,9 +48,9 @@
   /** Number of targets in each standing, by service. */
   getTargetCounts(): ReadonlyMap<string, Readonly<Record<TargetStanding, number>>>;
   /** Learnt slowdown curve of the targets, by service. */
-  getLearntCurves(): ReadonlyMap<string, LearntCurve>;
+  getLearntCurves(): ReadonlyMap<string, SlowdownEstimates>;
   /** State of the rollouts known to this VM, by service. */
-  getRolloutFigures(): ReadonlyMap<string, RolloutFigures>;
+  getRolloutFigures(): ReadonlyMap<string, RolloutStats>;
   /** Age of the last confirmed view of the store, in milliseconds; infinite until the first. */
   getStoreAgeMs(): number;
   /** Number of requests that have not been answered yet. */
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -1,5 +1,5 @@
 import type { BalancerEffect, BalancerState } from '../balancing/index.js';
-import { countTargets, createBalancerState, getRolloutFigures } from '../balancing/index.js';
+import { countTargets, createBalancerState, getRolloutStats } from '../balancing/index.js';
 import type { GatewaySettings } from '../config/index.js';
 import { CallerServer } from '../entry/api/CallerServer.js';
 import { FeedClient } from '../fleet/FeedClient.js';
@@ -155,8 +155,8 @@
       getProbeCount: () => this.prober.sentProbes,
       getTargetCounts: () => countTargets(this.state, clock.now()),
       getLearntCurves: () =>
-        new Map([...this.state.curves].map(([service, { learnt }]) => [service, learnt])),
-      getRolloutFigures: () => getRolloutFigures(this.state, clock.now()),
+        new Map([...this.state.serviceCurves].map(([name, { estimates }]) => [name, estimates])),
+      getRolloutFigures: () => getRolloutStats(this.state, clock.now()),
       getStoreAgeMs: () => view.getAgeMs(),
       getOpenRequestCount: () => this.activeRequests.size,
       getFeedMessageCount: () => this.fleetSync.sentMessages,
--- a/src/gateway/TargetProber.ts
+++ b/src/gateway/TargetProber.ts
@@ -1,6 +1,6 @@
 import { request } from 'node:http';
 
-import type { Destination, ProbeEnd } from '../balancing/index.js';
+import type { Destination, ProbeResult } from '../balancing/index.js';
 import { PROBE_TIMEOUT_MS } from '../balancing/index.js';
 import { readTargetHead } from '../platform/index.js';
 import type { Clock } from '../timing/index.js';
@@ -21,7 +21,7 @@
   constructor(
     private readonly agents: TargetAgents,
     private readonly clock: Clock,
-    private readonly onEnded: (to: Destination, end: ProbeEnd) => void,
+    private readonly onEnded: (to: Destination, end: ProbeResult) => void,
   ) {}
 
   /**
@@ -31,7 +31,7 @@
    */
   probe(to: Destination, path: string): void {
     let hasEnded = false;
-    const finish = (end: ProbeEnd): void => {
+    const finish = (end: ProbeResult): void => {
       if (hasEnded) return;
       hasEnded = true;
       this.onEnded(to, end);
@@ -40,7 +40,7 @@
   }
 
   /** @internal */
-  private send(to: Destination, path: string, finish: (end: ProbeEnd) => void): void {
+  private send(to: Destination, path: string, finish: (end: ProbeResult) => void): void {
     this.sentProbes += 1;
     const agent = this.agents.getAgent(to);
     const [host, port] = to.address.split(':');
--- a/src/gateway/TargetRequest.ts
+++ b/src/gateway/TargetRequest.ts
@@ -1,7 +1,7 @@
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import { request } from 'node:http';
 
-import type { AttemptEnd, Destination } from '../balancing/index.js';
+import type { AttemptResult, Destination } from '../balancing/index.js';
 import { cleanHeaders } from '../entry/exchange/headers.js';
 import type { TargetHead } from '../platform/index.js';
 import { readTargetHead, writeTargetHeaders } from '../platform/index.js';
@@ -39,7 +39,7 @@
   readonly body: Buffer | undefined;
   readonly callerRequestId: string | undefined;
   readonly allowedMs: number;
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly onEnd: (end: AttemptResult) => void;
 }
 
 /** A target's answer that can be forwarded to the caller. */
@@ -112,7 +112,7 @@
   }
 
   /** @internal */
-  private finish(end: AttemptEnd): void {
+  private finish(end: AttemptResult): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     this.options.onEnd(end);
@@ -174,7 +174,7 @@
   }
 
   /** Returns the outcome if the head decides it, undefined if the body has to be read. @internal */
-  private classifyHead(status: number, head: TargetHead): AttemptEnd | undefined {
+  private classifyHead(status: number, head: TargetHead): AttemptResult | undefined {
     const { callerRequestId } = this.options;
     if (head.hasNotRun) return { kind: 'rejected', reading: head.reading, limit: head.limit };
     if (status === MISDIRECTED_REQUEST) return { kind: 'misdirected' };
--- a/src/gateway/getOwnRollout.ts
+++ b/src/gateway/getOwnRollout.ts
@@ -1,5 +1,5 @@
 import type { BalancerState } from '../balancing/index.js';
-import { countOldRequests, getStage } from '../balancing/index.js';
+import { countOldVersionRequests, getStage } from '../balancing/index.js';
 import type { OwnRollout } from '../fleet/RolloutSync.js';
 import type { RolloutOrder } from '../rollouts/index.js';
 
@@ -20,7 +20,7 @@
   const stage = getStage(rollout, now);
   return {
     phase: stage === 'paused' || stage === 'completed' ? 'trial' : stage,
-    oldRequests: countOldRequests(state, rollout),
+    oldRequests: countOldVersionRequests(state, rollout),
     counts: rollout.evidence.totals,
   };
 }
--- a/src/gateway/writeAddressAnswer.ts
+++ b/src/gateway/writeAddressAnswer.ts
@@ -1,4 +1,4 @@
-import type { VmEntry } from '../balancing/index.js';
+import type { VmAnnouncement } from '../balancing/index.js';
 import type { GatewaySettings } from '../config/index.js';
 import { writeAddresses } from '../platform/index.js';
 
@@ -16,7 +16,7 @@
  */
 export function writeAddressAnswer(
   { self, addressTtlMostMs }: Pick<GatewaySettings, 'self' | 'addressTtlMostMs'>,
-  others: readonly VmEntry[],
+  others: readonly VmAnnouncement[],
   isStopping: boolean,
 ): string {
   const own = isStopping && others.length > 0 ? [] : [self];
--- a/src/lab/LabTarget.ts
+++ b/src/lab/LabTarget.ts
@@ -1,4 +1,4 @@
-import type { LoadReading, NamedLimit } from '../balancing/index.js';
+import type { LoadReading, AdvertisedLimit } from '../balancing/index.js';
 import type { Clock } from '../timing/index.js';
 import type { TargetsPlan } from './LabPlan.js';
 
@@ -8,7 +8,11 @@
   readonly workMs: number;
   readonly onRun: () => void;
   /** Told once: how it ended, and the load at that moment. */
-  readonly onEnd: (end: 'answered' | 'rejected', reading: LoadReading, limit: NamedLimit) => void;
+  readonly onEnd: (
+    end: 'answered' | 'rejected',
+    reading: LoadReading,
+    limit: AdvertisedLimit,
+  ) => void;
 }
 
 /** A target in virtual time: slots, a queue, work that slows down, spells in which all is slow. */
@@ -63,7 +67,7 @@
   }
 
   /** The limit that its next answer names. @internal */
-  private get limit(): NamedLimit {
+  private get limit(): AdvertisedLimit {
     const isNamed = this.limitShare === 1 || this.random() < this.limitShare;
     return isNamed ? this.limitPerSecond : undefined;
   }
--- a/src/lab/LabVm.ts
+++ b/src/lab/LabVm.ts
@@ -4,7 +4,7 @@
   BalancerState,
   LoadReading,
   RoutingTable,
-  TargetEntry,
+  TargetRegistration,
 } from '../balancing/index.js';
 import { createBalancerState, reduceBalancer, ServiceCurve } from '../balancing/index.js';
 import type { LimitReport } from '../limits/index.js';
@@ -129,12 +129,16 @@
   /** @internal */
   private tellCurves(): void {
     for (const { service, kneeShare, kneeSlowdown } of this.parts.plan.targets) {
-      this.state.curves.set(service, new ServiceCurve({ kneeShare, kneeSlowdown }));
+      this.state.serviceCurves.set(service, new ServiceCurve({ kneeShare, kneeSlowdown }));
     }
   }
 
   /** Tells it what the store holds. */
-  configure(table: RoutingTable, targets: readonly TargetEntry[], vms: readonly string[]): void {
+  configure(
+    table: RoutingTable,
+    targets: readonly TargetRegistration[],
+    vms: readonly string[],
+  ): void {
     this.dispatch({ kind: 'tableRead', table });
     this.dispatch({ kind: 'targetsRead', targets });
     this.dispatch({ kind: 'vmsChanged', vms });
--- a/src/lab/playLab.ts
+++ b/src/lab/playLab.ts
@@ -1,4 +1,4 @@
-import type { RoutingTable, TargetEntry } from '../balancing/index.js';
+import type { RoutingTable, TargetRegistration } from '../balancing/index.js';
 import { VirtualClock } from '../proof/VirtualClock.js';
 import { createRandom } from '../standIns/models/index.js';
 import { drawArrivals, LabCallers } from './LabCallers.js';
@@ -54,7 +54,7 @@
   };
 }
 
-function makeEntries(plan: LabPlan): TargetEntry[] {
+function makeEntries(plan: LabPlan): TargetRegistration[] {
   return plan.targets.flatMap(({ service, count, slots }, s) =>
     Array.from({ length: count }, (_, i) => ({
       id: `${service}-${i + 1}`,
@@ -93,7 +93,7 @@
 /** Kills VMs and starts them again when the plan says so; gives when each is excused from limits. */
 function planDowns(
   plan: LabPlan,
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRegistration[],
   vms: readonly LabVm[],
   names: readonly string[],
   clock: VirtualClock,
@@ -123,7 +123,7 @@
 
 function getLimited(
   { service, count }: LabPlan['limiting'][number],
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRegistration[],
 ): string[] {
   return entries
     .filter((each) => each.service === service)
@@ -134,7 +134,7 @@
 /** Has targets name limits when the plan says so; gives the namings, which fill up as time passes. */
 function planLimits(
   plan: LabPlan,
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRegistration[],
   targets: ReadonlyMap<string, LabTarget>,
   clock: VirtualClock,
 ): readonly LimitNaming[] {
@@ -160,7 +160,7 @@
 
 function getLimitUse(
   plan: LabPlan,
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRegistration[],
   arrivals: readonly LimitArrival[],
 ): number {
   let got = 0;
--- a/src/platform/decode.ts
+++ b/src/platform/decode.ts
@@ -2,9 +2,9 @@
   CallerLimits,
   Route,
   RoutingTable,
-  ServiceRules,
-  TargetEntry,
-  VmEntry,
+  ServicePolicy,
+  TargetRegistration,
+  VmAnnouncement,
   VmRoster,
   WeightedService,
 } from '../balancing/index.js';
@@ -102,7 +102,7 @@
   };
 }
 
-function decodeServiceRules(value: unknown): ServiceRules {
+function decodeServiceRules(value: unknown): ServicePolicy {
   const cluster = asObject(value, 'cluster');
   return {
     name: asNonEmptyString(cluster.name, 'name'),
@@ -148,7 +148,7 @@
  * @param id - Name of the stored object.
  * @param value - The object's fields.
  */
-export function decodeTarget(id: string, value: unknown): TargetEntry {
+export function decodeTarget(id: string, value: unknown): TargetRegistration {
   const entry = asObject(value, 'entry');
   const info = asObject(entry.info, 'info');
   const status = asObject(entry.status, 'status');
@@ -170,7 +170,7 @@
   };
 }
 
-function decodeVm(value: unknown): VmEntry {
+function decodeVm(value: unknown): VmAnnouncement {
   const entry = asObject(value, 'VM');
   return {
     name: asNonEmptyString(entry.name, 'name'),
--- a/src/platform/readLimit.ts
+++ b/src/platform/readLimit.ts
@@ -1,4 +1,4 @@
-import type { NamedLimit } from '../balancing/index.js';
+import type { AdvertisedLimit } from '../balancing/index.js';
 
 const DECIMAL_PATTERN = /^\d+(?:\.\d+)?$/;
 
@@ -10,7 +10,7 @@
  * @example
  * readLimit('1.3'); // 1.3
  */
-export function readLimit(text: string | undefined): NamedLimit {
+export function readLimit(text: string | undefined): AdvertisedLimit {
   if (text === undefined) return undefined;
   const limits = text
     .split(',')
--- a/src/platform/requests.ts
+++ b/src/platform/requests.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
-import type { LoadReading, NamedLimit } from '../balancing/index.js';
+import type { LoadReading, AdvertisedLimit } from '../balancing/index.js';
 import {
   COLD_HEADER,
   DEADLINE_HEADER,
@@ -87,7 +87,7 @@
   /** Time that the target remains cold, in milliseconds. */
   readonly coldMs: number;
   /** Requests per second that the target accepts from all entry VMs together. */
-  readonly limit: NamedLimit;
+  readonly limit: AdvertisedLimit;
 }
 
 function getSingleHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
--- a/src/platform/standIn/storedObjects.ts
+++ b/src/platform/standIn/storedObjects.ts
@@ -1,4 +1,4 @@
-import type { RoutingTable, TargetEntry } from '../../balancing/index.js';
+import type { RoutingTable, TargetRegistration } from '../../balancing/index.js';
 import { DEADLINE_HEADER, REQUEST_ID_HEADER, RESPONSE_SIGNATURE_HEADER } from '../headers.js';
 import { ADDRESSES_PATH } from '../pages.js';
 import type { PlatformStore } from './PlatformStore.js';
@@ -50,7 +50,7 @@
  * @param store - The store.
  * @param entry - The target's entry.
  */
-export function putTarget(store: PlatformStore, entry: TargetEntry): void {
+export function putTarget(store: PlatformStore, entry: TargetRegistration): void {
   const { id, service, address, zone, version, bornAt, slots, isDraining, coldMs } = entry;
   const info = { service, version, zone, max_concurrency: slots };
   const state = isDraining ? 'draining' : 'ready';
--- a/src/soak/SoakWorld.ts
+++ b/src/soak/SoakWorld.ts
@@ -1,6 +1,6 @@
 import { join } from 'node:path';
 
-import type { RoutingTable, TargetEntry } from '../balancing/index.js';
+import type { RoutingTable, TargetRegistration } from '../balancing/index.js';
 import type { LimitNaming } from '../lab/index.js';
 import {
   PlatformStore,
@@ -27,7 +27,7 @@
 
 /** A target with the link to it. */
 export interface SoakTarget {
-  entry: TargetEntry;
+  entry: TargetRegistration;
   readonly model: PlatformTarget;
   readonly link: FaultProxy;
 }
@@ -146,7 +146,7 @@
     });
     const link = new FaultProxy(await model.start());
     const address = await link.start();
-    const entry: TargetEntry = {
+    const entry: TargetRegistration = {
       id,
       service: 'soak',
       address,
--- a/src/tests/balancing/CallerTimes.test.ts
+++ b/src/tests/balancing/CallerTimes.test.ts
@@ -7,7 +7,9 @@
 
 const USUAL_MS = 4_000;
 
-/** Allowed times of callers that ask first: most the usual one, the rest down to 0.85 of it. */
+/**
+ * Yields timeouts of first tries: most callers allow the usual time, the others down to 0.85 of it.
+ */
 function* firstTimes(count: number): Generator<number> {
   const random = createRandom(3);
   for (let i = 0; i < count; i++) {
@@ -15,26 +17,26 @@
   }
 }
 
-test('a first request that allows a little less than is usual is not taken for a returning one', (t) => {
-  // Callers of one kind don't all allow the same time: a third of them allow up to 15% less. Taken for
-  // callers that were refused before, they are thought late from the start, wait behind the others and
-  // are refused; their user sees an error while targets have free slots.
+test('a first try that allows a little less time than usual is not taken for a retry', (t) => {
+  // Callers of one kind do not all allow the same time: a third of them allow up to 15% less. If
+  // they were taken for callers that retry, they would count as late from the start, wait behind
+  // the others and be refused, so that users see errors while targets have free slots.
   const times = new CallerTimes();
-  for (const allowedMs of firstTimes(400)) t.is(times.note('lookup', allowedMs), 0);
+  for (const allowedMs of firstTimes(400)) t.is(times.recordTimeout('lookup', allowedMs), 0);
 });
 
-test('a caller that was refused is known when it comes back', (t) => {
+test('the retry of a refused caller is recognised', (t) => {
   const times = new CallerTimes();
-  for (const allowedMs of firstTimes(50)) times.note('lookup', allowedMs);
+  for (const allowedMs of firstTimes(50)) times.recordTimeout('lookup', allowedMs);
   for (const chance of [0, 0.5, 0.99]) {
     const waitedMs = getRetryAfterMs(USUAL_MS, chance);
-    const sinceMs = times.note('lookup', USUAL_MS - waitedMs);
+    const sinceMs = times.recordTimeout('lookup', USUAL_MS - waitedMs);
     t.true(Math.abs(sinceMs - waitedMs) <= 10, `${sinceMs} of ${waitedMs}`);
   }
 });
 
-test('a first request that allows less than is usual gets the last slots in time', (t) => {
-  // All targets have one slot left, on which work takes longer but still ends in time.
+test('a first try that allows less time than usual gets a last slot if it meets its objective there', (t) => {
+  // All targets have one slot left, on which work takes longer but still meets the objective.
   const scene = new Scene([makeTarget('t-1'), makeTarget('t-2'), makeTarget('t-3')]);
   for (let i = 0; i < 20; i++) {
     scene.now += 500;
--- a/src/tests/balancing/ServiceCurve.test.ts
+++ b/src/tests/balancing/ServiceCurve.test.ts
@@ -7,16 +7,16 @@
 
 const SLOTS = 6;
 
-/** Answers are wanted within so many times their work. */
+/** Time allowed for an answer, as a multiple of the work time. */
 const SLACK = 2.5;
 
-/** How a service's targets are in truth. */
+/** True behaviour of a service's targets. */
 interface Truth {
   readonly freeSlots: number;
   readonly slowdown: number;
 }
 
-/** Lets a curve see answers, a part of them as wrong as can be. */
+/** Creates a curve that has learnt from answers, a share of which have a wrong ratio. */
 function teach(
   truth: Truth,
   answers: number,
@@ -26,11 +26,14 @@
   const curve = new ServiceCurve();
   const random = createRandom(answers + Math.round(wrongRatio * 100));
   for (let i = 0; i < answers; i++) {
-    const busy = 1 + Math.floor(random() * SLOTS);
-    const factor = busy > truth.freeSlots ? truth.slowdown : 1;
+    const occupied = 1 + Math.floor(random() * SLOTS);
+    const factor = occupied > truth.freeSlots ? truth.slowdown : 1;
     const isWrong = random() < wrongShare;
     const ratio = isWrong ? wrongRatio : drawLognormal(random, factor, 0.3);
-    curve.note({ busy, slots: SLOTS, slowdown: 1, isCold: false, ahead: 0 }, ratio);
+    curve.recordAnswer(
+      { occupied, slots: SLOTS, slowdown: 1, isCold: false, queuedAhead: 0 },
+      ratio,
+    );
   }
   return curve;
 }
@@ -40,15 +43,16 @@
   slowdown: fc.double({ min: 1, max: 4, noNaN: true }),
 });
 
-test('it comes near the truth although a tenth of the answers are wrong', (t) => {
-  // One target is far slower than it says, or answers are spoilt on the way. An average would follow
-  // them, and every target of the service would be filled too little or too much.
+test('the estimates are close to the true values although a tenth of the answers are wrong', (t) => {
+  // A single target may be far slower than it reports, and answers may be corrupted on the way. An
+  // average would follow such answers, and all targets of the service would be filled too little or
+  // too much.
   fc.assert(
     fc.property(TRUTHS, fc.double({ min: 0, max: 50, noNaN: true }), (truth, wrongRatio) => {
       const curve = teach(truth, 600, 0.1, wrongRatio);
-      for (let busy = 1; busy <= SLOTS; busy++) {
-        const factor = busy > truth.freeSlots ? truth.slowdown : 1;
-        const seen = curve.getFactor(busy, SLOTS);
+      for (let occupied = 1; occupied <= SLOTS; occupied++) {
+        const factor = occupied > truth.freeSlots ? truth.slowdown : 1;
+        const seen = curve.getLoadFactor(occupied, SLOTS);
         if (seen < factor * 0.65 || seen > factor * 1.5) return false;
       }
       return true;
@@ -58,17 +62,20 @@
   t.pass();
 });
 
-test('few answers move it by steps, however far off they are', (t) => {
+test('a few answers move an estimate by small steps, however far off they are', (t) => {
   fc.assert(
     fc.property(
       fc.array(fc.double({ min: 0, max: 1e6, noNaN: true }), { maxLength: 3 }),
       (wrong) => {
         const curve = new ServiceCurve();
-        const before = curve.getFactor(SLOTS, SLOTS);
+        const before = curve.getLoadFactor(SLOTS, SLOTS);
         for (const ratio of wrong) {
-          curve.note({ busy: SLOTS, slots: SLOTS, slowdown: 1, isCold: false, ahead: 0 }, ratio);
+          curve.recordAnswer(
+            { occupied: SLOTS, slots: SLOTS, slowdown: 1, isCold: false, queuedAhead: 0 },
+            ratio,
+          );
         }
-        const after = curve.getFactor(SLOTS, SLOTS);
+        const after = curve.getLoadFactor(SLOTS, SLOTS);
         return after >= before / 1.7 && after <= before * 1.7;
       },
     ),
@@ -77,12 +84,12 @@
   t.pass();
 });
 
-test('what is learnt of slow spells and cold targets keeps to its bounds', (t) => {
+test('estimates for slowdowns and cold targets stay within their bounds', (t) => {
   fc.assert(
     fc.property(
       fc.array(
         fc.record({
-          busy: fc.integer({ min: 1, max: SLOTS }),
+          occupied: fc.integer({ min: 1, max: SLOTS }),
           slowdown: fc.double({ min: 0.1, max: 20, noNaN: true }),
           isCold: fc.boolean(),
           ratio: fc.double({ min: 0, max: 1e6, noNaN: true }),
@@ -90,10 +97,10 @@
       ),
       (answers) => {
         const curve = new ServiceCurve();
-        for (const { ratio, ...basis } of answers) {
-          curve.note({ ...basis, slots: SLOTS, ahead: 0 }, ratio);
+        for (const { ratio, ...load } of answers) {
+          curve.recordAnswer({ ...load, slots: SLOTS, queuedAhead: 0 }, ratio);
         }
-        const { levels, slowdownWeight, coldSlowdown } = curve.learnt;
+        const { levels, slowdownWeight, coldSlowdown } = curve.estimates;
         const isBounded = slowdownWeight >= 0 && slowdownWeight <= 1.2 && coldSlowdown >= 1;
         return isBounded && coldSlowdown <= 6 && levels.every((each) => each >= 1 && each <= 6);
       },
@@ -103,21 +110,22 @@
   t.pass();
 });
 
-test('a target is filled as far as it gets more done', (t) => {
-  t.is(teach({ freeSlots: 4, slowdown: 1.7 }, 600, 0, 1).getBestBusy(SLOTS, SLACK), 4);
-  t.is(teach({ freeSlots: 3, slowdown: 2.2 }, 600, 0, 1).getBestBusy(SLOTS, SLACK), 3);
-  t.is(teach({ freeSlots: 6, slowdown: 1 }, 600, 0, 1).getBestBusy(SLOTS, SLACK), SLOTS);
-  t.is(new ServiceCurve().getBestBusy(2, SLACK), 2);
-  // Filled up, targets would do a little more, and half of it too late.
-  t.is(new ServiceCurve({ kneeShare: 0.4, kneeSlowdown: 2 }).getBestBusy(SLOTS, 2), 2);
+test('the best occupancy completes the most work in time', (t) => {
+  t.is(teach({ freeSlots: 4, slowdown: 1.7 }, 600, 0, 1).getBestOccupancy(SLOTS, SLACK), 4);
+  t.is(teach({ freeSlots: 3, slowdown: 2.2 }, 600, 0, 1).getBestOccupancy(SLOTS, SLACK), 3);
+  t.is(teach({ freeSlots: 6, slowdown: 1 }, 600, 0, 1).getBestOccupancy(SLOTS, SLACK), SLOTS);
+  t.is(new ServiceCurve().getBestOccupancy(2, SLACK), 2);
+  // With more occupied slots, targets would complete slightly more, but half of it too late.
+  t.is(new ServiceCurve({ kneeShare: 0.4, kneeSlowdown: 2 }).getBestOccupancy(SLOTS, 2), 2);
 });
 
 for (const name of ['earlyKnee', 'noKnee']) {
-  test(`targets that nobody has measured are served as if their curve were known: ${name}`, (t) => {
-    // Targets slow down from half of their slots on, or not at all. Filled by the figures of others
-    // they answer late, or stand idle. Worth with the constants of other targets 0.63 and 0.89, learnt
-    // 0.87 and 0.93 (virtual time, five seeds; the surge itself teaches most of it). In a
-    // second surge what was learnt has to be worth as much as the truth, less 0.03.
+  test(`unknown targets are served as well as if their curve were known: ${name}`, (t) => {
+    // Targets slow down from half of their slots on, or not at all. With the figures of other
+    // targets they answer late, or stay idle. The payoff is 0.63 and 0.89 with the constants of
+    // other targets, and 0.87 and 0.93 with learnt ones (virtual time, five seeds; most is learnt
+    // in the surge itself). In a second surge the learnt curve may be worth at most 0.03 less than
+    // the true one.
     const plan = LAB_PLANS[name];
     const [{ factor }] = plan.surges;
     const twice = {
@@ -128,16 +136,21 @@
       ],
       untilMs: 22_000,
     };
-    const getSecond = (isTold: boolean): number => {
-      const all = [7, 14, 21, 28].flatMap((seed) => playLab({ ...twice, isTold }, seed).records);
+    const getSecondSurgeShare = (hasTrueCurve: boolean): number => {
+      const all = [7, 14, 21, 28].flatMap(
+        (seed) => playLab({ ...twice, isTold: hasTrueCurve }, seed).records,
+      );
       const second = all.filter(({ askedAt }) => askedAt >= 14_000 && askedAt < 20_000);
       const inTime = second.filter(
         ({ route, askedAt, answeredAt = Infinity }) => answeredAt - askedAt <= route.objectiveMs,
       );
       return inTime.length / second.length;
     };
-    const learnt = getSecond(false);
-    const told = getSecond(true);
-    t.true(learnt >= told - 0.03, `${learnt.toFixed(3)} of ${told.toFixed(3)}`);
+    const learntShare = getSecondSurgeShare(false);
+    const knownShare = getSecondSurgeShare(true);
+    t.true(
+      learntShare >= knownShare - 0.03,
+      `${learntShare.toFixed(3)} of ${knownShare.toFixed(3)}`,
+    );
   });
 }
--- a/src/tests/balancing/bounds.test.ts
+++ b/src/tests/balancing/bounds.test.ts
@@ -9,8 +9,9 @@
 
 const RUNS = { seed: 7, numRuns: 300 };
 
-test('repeats of all VMs together keep to the bound in any window', (t) => {
-  // Targets fail and every VM repeats what it can. The sum must not bury those that are left.
+test('the retries of all VMs together stay within the limit in any window', (t) => {
+  // When targets fail, every VM retries as much as it can; the sum must not overload the other
+  // targets.
   const step = fc.record({
     vm: fc.nat(14),
     waitMs: fc.nat(400),
@@ -23,13 +24,13 @@
     let now = 0;
     for (const { vm, waitMs, isRequest } of steps) {
       now += waitMs;
-      if (isRequest) vms[vm].noteRequest('s', now);
+      if (isRequest) vms[vm].recordRequest('s', now);
       if (isRequest || vms[vm].take('s', 15, now)) log.push({ at: now, isRequest });
     }
     for (const { at } of log) {
       const window = log.filter((each) => each.at > at - bound.windowMs && each.at <= at);
       const requests = window.filter(({ isRequest }) => isRequest).length;
-      // What came just before the window may be counted with it, as the bound allows.
+      // Requests just before the window may be counted with it, as the limit allows.
       if (window.length - requests > bound.ratio * requests + bound.slack) return false;
     }
     return true;
@@ -37,8 +38,9 @@
   t.notThrows(() => fc.assert(property, RUNS));
 });
 
-test('a cold target gets no more than it bears although five VMs take themselves for its owners', (t) => {
-  // Views of the fleet differ while VMs come and go. A cold target that gets the sum crashes again.
+test('a cold target gets no more than its limit even if five VMs consider themselves its owners', (t) => {
+  // The VMs' views of the fleet differ while VMs come and go. If a cold target gets the sum of what
+  // they send, it crashes again.
   const property = fc.property(
     fc.array(fc.nat(120), { minLength: 20, maxLength: 200 }),
     fc.constantFrom(2.1, 8.4),
@@ -49,7 +51,7 @@
       for (const wait of waits) {
         now += wait;
         for (const vm of vms) {
-          if (!vm.has('t', perSecond, now)) continue;
+          if (!vm.hasToken('t', perSecond, now)) continue;
           vm.take('t', perSecond, now);
           sent.push(now);
         }
@@ -63,7 +65,7 @@
   t.notThrows(() => fc.assert(property, RUNS));
 });
 
-test('three VMs own a cold target, and one that goes moves no other', (t) => {
+test('three VMs own a cold target, and the loss of one does not change the others', (t) => {
   const vms = ['a', 'b', 'c', 'd', 'e', 'f'];
   const owners = getColdOwners('t-1', vms);
   t.is(owners.length, 3);
@@ -89,15 +91,15 @@
   }
 });
 
-test('probes keep to this VM’s share over half a minute, what was saved up included', (t) => {
+test('probes stay within this VM’s share over 30 s, including saved ones', (t) => {
   const budget = new ProbeBudget(60);
-  let taken = 0;
-  for (let now = 0; now < 30_000; now += 10) taken += budget.take('s', 5, 12, 15, now);
-  t.true(taken <= (60 * 12 * 30) / 15);
-  t.true(taken >= (60 * 12 * 30 * 0.8) / 15);
+  let probes = 0;
+  for (let now = 0; now < 30_000; now += 10) probes += budget.take('s', 5, 12, 15, now);
+  t.true(probes <= (60 * 12 * 30) / 15);
+  t.true(probes >= (60 * 12 * 30 * 0.8) / 15);
 });
 
-test('the longest prefix of the host’s routes wins', (t) => {
+test('the route with the longest matching prefix of the host wins', (t) => {
   const table = {
     ...TABLE,
     routes: [
@@ -112,7 +114,7 @@
   t.is(findRoute(table, 'door.example', '/x?/horaires/'), undefined);
 });
 
-test('parts of a split get their weight', (t) => {
+test('requests are split between services by weight', (t) => {
   const parts = [
     { service: 'a', weight: 90 },
     { service: 'b', weight: 10 },
--- a/src/tests/balancing/countTargets.test.ts
+++ b/src/tests/balancing/countTargets.test.ts
@@ -17,8 +17,8 @@
 });
 
 test('a service that has lost all targets shows as none, not as missing', (t) => {
-  // A VM hears that all targets lapsed and never that they are back. Its callers are refused while all
-  // other VMs serve; an alarm on a figure that is missing would never go off.
+  // A VM may see that all targets have expired, and miss that they are back. It then refuses its
+  // callers while all other VMs serve theirs, and an alarm on a missing figure never fires.
   const scene = new Scene([makeTarget('t-1')]);
   scene.dispatch({ kind: 'targetsRead', targets: [] });
   t.is(countTargets(scene.state, scene.now).get('horaires')?.usable, 0);
--- a/src/tests/balancing/limits.test.ts
+++ b/src/tests/balancing/limits.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 
-import type { NamedLimit } from '../../balancing/index.js';
+import type { AdvertisedLimit } from '../../balancing/index.js';
 import type { PermitAsk } from '../../limits/index.js';
 import { getOwners, MAX_ACTIVE_ISSUERS } from '../../limits/index.js';
 import { makeReading, makeTarget, ROUTE, Scene } from './scene.js';
 
-const NAMED: readonly NamedLimit[] = [6, 6, 1.3, 'unreadable', undefined];
+const NAMED: readonly AdvertisedLimit[] = [6, 6, 1.3, 'unreadable', undefined];
 
 test('the log tells which limits a target names, and by which one a request is sent', (t) => {
   const scene = new Scene([makeTarget('t-1')]);
@@ -24,7 +24,7 @@
   t.snapshot(lines.filter(({ event }) => /^target\.(un)?limit/.test(event)));
 });
 
-test('the line of a request that is sent to a limited target names the limit', (t) => {
+test('the log line of a request sent to a limited target names the limit', (t) => {
   const scene = new Scene([makeTarget('t-1')]);
   scene.dispatch({
     kind: 'limitsReported',
@@ -43,7 +43,7 @@
 
 const VMS = ['vm-1', 'vm-2', 'vm-3', 'vm-4', 'vm-5', 'vm-6'];
 
-/** A VM that knows a limit of its only targets, and issues no permits for them itself. */
+/** Creates a VM that knows a limit of its only targets and is not an issuer for them. */
 function makeLimited(targets = ['t-1']): Scene {
   const entries = targets.map((id) => makeTarget(id));
   const vm = VMS.find((name) =>
@@ -56,7 +56,7 @@
   return scene;
 }
 
-/** Answers the ask for a permit that was made last. */
+/** Answers the latest request for a permit. */
 function answerAsk(scene: Scene, isGranted: boolean, waitMs = 700): void {
   const { ask } = scene.all('askPermit').at(-1) as { ask: PermitAsk };
   const { target, bornAt } = ask;
@@ -64,7 +64,7 @@
   scene.dispatch({ kind: 'permitAnswered', answer: { ...answer, isGranted, waitMs, reports: [] } });
 }
 
-test('a request goes to a limited target with a permit of an issuer, and is probed for only then', (t) => {
+test('a limited target is probed and gets a request only after an issuer has granted a permit', (t) => {
   const scene = makeLimited();
   scene.arrive();
   t.is(scene.all('probe').length, 0);
@@ -74,8 +74,8 @@
   t.is(scene.all('sendAttempt').length, 1);
 });
 
-// Held until its time is over it would only have kept its caller waiting.
-test('a request is refused at once when no issuer grants a permit, with the time to come back', (t) => {
+// A request that is held until its deadline would only keep its caller waiting.
+test('a request is refused at once, with a retry time, if no issuer grants a permit', (t) => {
   const scene = makeLimited();
   scene.arrive();
   for (let issuer = 0; issuer < 3; issuer++) answerAsk(scene, false, 2_500);
@@ -86,8 +86,8 @@
   t.is(scene.all('sendAttempt').length, 0);
 });
 
-// An answer that comes late, or twice, would be a second permit for one request.
-test('one answer of an issuer grants one request', (t) => {
+// A late or duplicate answer must not become a second permit.
+test('an issuer’s answer grants only one request, even if it arrives twice', (t) => {
   const scene = makeLimited();
   scene.arrive();
   answerAsk(scene, true);
@@ -99,7 +99,7 @@
   t.is(scene.all('sendAttempt').length, 1);
 });
 
-test('a permit that is not used is given back', (t) => {
+test('an unused permit is returned', (t) => {
   const scene = makeLimited(['t-1', 't-2']);
   scene.arrive();
   const asks = scene.all('askPermit').map(({ ask }) => ask);
@@ -114,7 +114,7 @@
   t.not(target.target, scene.lastSent.to.target);
 });
 
-test('an issuer that does not answer is passed over', (t) => {
+test('an issuer that does not answer is skipped', (t) => {
   const scene = makeLimited();
   const request = scene.arrive();
   for (let i = 0; i < 8; i++) scene.wait(20, request);
@@ -123,11 +123,11 @@
   t.true(scene.all('log').some(({ event }) => event === 'permit.issuerSilent'));
 });
 
-// Each issuer more lets a third of the limit through on top.
-test('VMs that differ on who is up ask the same issuers', (t) => {
+// Each additional issuer lets through another third of the limit.
+test('VMs with different views of the live VMs ask the same issuers', (t) => {
   const issuers = getOwners('t-1|1', VMS, MAX_ACTIVE_ISSUERS);
-  const asked = [0, 1, 2].flatMap((first) => {
-    const down = issuers.slice(first, first + 2);
+  const asked = [0, 1, 2].flatMap((firstDown) => {
+    const down = issuers.slice(firstDown, firstDown + 2);
     const scene = makeLimited();
     const vms = VMS.filter((vm) => !down.includes(vm));
     scene.dispatch({ kind: 'vmsChanged', vms, announced: VMS });
@@ -141,13 +141,13 @@
   );
 });
 
-test('an issuer that knows of no limit learns it from the VM that asks', (t) => {
+test('an issuer that does not know a limit learns it from the requesting VM', (t) => {
   const scene = new Scene([makeTarget('t-1')]);
   scene.dispatch({ kind: 'vmsChanged', vms: VMS });
   const reports = [{ target: 't-1', bornAt: 1, perSecond: 1.3, ageMs: 50 }];
   const ask = { kind: 'permitAsk', ask: 1, target: 't-1', bornAt: 1, reports } as const;
   scene.dispatch({ kind: 'permitAsked', ask, from: '10.0.0.9:7000' });
-  // Whoever issued permits before it may have done so until a moment ago.
+  // A former issuer may have granted permits until a moment ago.
   t.false(scene.all('answerPermit')[0].answer.isGranted);
   t.deepEqual(scene.all('gossipLimits')[0].reports, reports);
 });
--- a/src/tests/balancing/preference.test.ts
+++ b/src/tests/balancing/preference.test.ts
@@ -8,9 +8,9 @@
   return Array.from({ length: count }, (_, i) => makeTarget(`t-${first + i}`, { zone }));
 }
 
-test('requests stay in their availability zone while its targets have room', (t) => {
-  // Five zones with targets for all, little used. Sent anywhere, a third of all answers and probes crossed
-  // between zones, which are paid for and take longer.
+test('requests stay in their availability zone while its targets have free slots', (t) => {
+  // Five zones have enough targets under light load. If requests went to targets of any zone, a
+  // third of all answers and probes would cross between zones, which costs money and takes longer.
   const own = makeTargets(20, 'quai');
   const others = makeTargets(80, 'phare', 21);
   const scene = new Scene([...own, ...others]);
@@ -26,7 +26,8 @@
 });
 
 test('requests leave their availability zone at once when its targets are full', (t) => {
-  // A zone gets more callers than its targets bear, and those of the other zones are idle.
+  // One zone gets more callers than its targets can handle, while those of the other zones are
+  // idle.
   const own = makeTargets(20, 'quai');
   const scene = new Scene([...own, ...makeTargets(80, 'phare', 21)]);
   const isOwn = new Set(own.map(({ id }) => id));
--- a/src/tests/balancing/rejections.test.ts
+++ b/src/tests/balancing/rejections.test.ts
@@ -7,7 +7,7 @@
 const SLOTS = 2;
 const ALLOWED_MS = 4_000;
 
-/** Has two targets reject a request, each of them with so many requests running. */
+/** Lets two targets reject a request, each while it runs a number of requests. */
 function rejectTwice(running: number): Scene {
   const scene = new Scene(TARGETS);
   scene.arrive('/horaires/today', ALLOWED_MS);
@@ -19,26 +19,26 @@
   return scene;
 }
 
-test('a caller that targets with free slots rejected may come back at once', (t) => {
-  // Targets reject a part of what they get, by chance, and have free slots all the while. Told to come
-  // back after a fifth of its time, the caller gets an answer that is late for certain.
+test('a caller rejected by targets with free slots may retry at once', (t) => {
+  // Targets reject a random share of their requests although they have free slots. A caller that is
+  // told to retry after a fifth of its time is certain to be late.
   const [answer] = rejectTwice(0).all('answer');
   t.is(answer.status, 503);
   t.is(answer.reason, 'rejectedWithRoom');
   t.true((answer.retryAfterMs ?? Infinity) <= 30);
 });
 
-test('a caller that full targets rejected comes back later', (t) => {
-  // At once it would only be rejected again, and take the place of others.
+test('a caller rejected by full targets is told to retry later', (t) => {
+  // An immediate retry would only be rejected again, and take the place of other requests.
   const [answer] = rejectTwice(SLOTS).all('answer');
   t.is(answer.reason, 'rejected');
   t.true((answer.retryAfterMs ?? 0) >= ALLOWED_MS / 5 - 1);
 });
 
-test('while targets reject more than half, most callers still have their answers in time', (t) => {
-  // Each caller tries three times, and each try fails by chance 0.55 times in one, so that
-  // 1 - 0.55³ = 0.83 of them can be served if they come back in time. Of the whole worth 0.74 was
-  // earned when they came back late, 0.89 since (virtual time, five seeds).
+test('most callers still get their answers in time while targets reject more than half of the requests', (t) => {
+  // Each caller tries three times, and each try fails with probability 0.55, so that 1 - 0.55³ =
+  // 0.83 of the callers can be served if they retry in time. The payoff is 0.74 if they retry late
+  // and 0.89 if they retry in time (virtual time, five seeds).
   const plan = LAB_PLANS.rejecting;
   const [{ fromMs, untilMs, share }] = plan.rejecting;
   const during = [7, 14, 21, 28, 35]
--- a/src/tests/balancing/requests.test.ts
+++ b/src/tests/balancing/requests.test.ts
@@ -6,7 +6,7 @@
 const ONCE = { ...ROUTE, isIdempotent: false };
 const SOUND = { kind: 'answered', status: 200 } as const;
 
-test('a request goes to the target that is idle now', (t) => {
+test('a request is sent to the target that is idle', (t) => {
   const scene = new Scene(TARGETS);
   scene.arrive();
   scene.answerProbes((id) => (id === 't-2' ? 0 : 1));
@@ -15,9 +15,9 @@
   t.deepEqual(scene.all('deliver'), [{ kind: 'deliver', request: 1, attempt: 1 }]);
 });
 
-test('a request that may run once is not sent again after its connection broke', (t) => {
-  // The target's connection is reset after a booking was sent. Nobody knows whether it was made; sent
-  // again, the member's card could be charged twice.
+test('a non-idempotent request is not sent again after its connection broke', (t) => {
+  // The connection is reset after a booking was sent, so it is unknown whether the booking was
+  // made. If it were sent again, the member's card could be charged twice.
   const scene = new Scene(TARGETS, [ONCE]);
   scene.arrive();
   scene.answerProbes();
@@ -29,7 +29,7 @@
 });
 
 for (const kind of ['rejected', 'misdirected'] as const) {
-  test(`a request that may run once is sent again after it was ${kind}`, (t) => {
+  test(`a non-idempotent request is sent again after it was ${kind}`, (t) => {
     const scene = new Scene(TARGETS, [ONCE]);
     scene.arrive();
     scene.answerProbes();
@@ -41,9 +41,9 @@
   });
 }
 
-test('a refusal says that a request has not run only while that is certain', (t) => {
-  // The first target's answer is lost, the second is full. Said to be not run, an idempotent request
-  // is counted as lost although a target may have done its work.
+test('a refusal says that a request has not run only if that is certain', (t) => {
+  // The answer of the first target is lost, and the second target is full. A refusal that says that
+  // the request has not run would be wrong, since the first target may have run it.
   const scene = new Scene(TARGETS);
   scene.arrive();
   scene.answerProbes();
@@ -66,8 +66,9 @@
   t.true((answer.retryAfterMs ?? 0) > 0);
 });
 
-test('a request gets its answer when its route’s time is over', (t) => {
-  // A target hangs. The caller must learn at the time that the operator set, not when it gives up itself.
+test('a request is answered at its route’s timeout', (t) => {
+  // The target hangs. The caller must be answered at the route's timeout, not only when it gives
+  // up.
   const scene = new Scene(TARGETS, [ONCE]);
   const request = scene.arrive();
   scene.answerProbes();
@@ -76,17 +77,17 @@
   t.deepEqual(scene.all('cancelAttempt'), [{ kind: 'cancelAttempt', attempt: 1 }]);
 });
 
-test('a caller that leaves is worked for no more', (t) => {
+test('all attempts are cancelled when the caller disconnects', (t) => {
   const scene = new Scene(TARGETS);
   const request = scene.arrive();
   scene.answerProbes();
   scene.dispatch({ kind: 'callerLeft', request });
   t.is(scene.all('cancelAttempt').length, 1);
-  t.is(scene.state.journeys.size, 0);
+  t.is(scene.state.pendingRequests.size, 0);
 });
 
-test('an idempotent request that takes too long is sent to a second target as well', (t) => {
-  // The target has turned slow after the request was sent, and nothing tells so but time.
+test('an idempotent request that takes too long is hedged', (t) => {
+  // The target has become slow after the request was sent; only the elapsed time shows it.
   const scene = new Scene(TARGETS);
   const request = scene.arrive();
   scene.answerProbes();
@@ -98,7 +99,7 @@
   t.is(scene.all('deliver').length, 1);
 });
 
-test('a request that may run once is not sent to a second target beside the first', (t) => {
+test('a non-idempotent request is not hedged', (t) => {
   const scene = new Scene(TARGETS, [ONCE]);
   const request = scene.arrive();
   scene.answerProbes();
@@ -107,8 +108,8 @@
   t.is(scene.all('sendAttempt').length, 1);
 });
 
-test('targets that leave or whose zone is out get nothing', (t) => {
-  // An operator takes a zone out and a target drains; what is sent there all the same is lost.
+test('targets that drain or whose zone is out of service get no requests', (t) => {
+  // An operator takes a zone out of service and a target drains; requests sent to either are lost.
   const scene = new Scene([
     makeTarget('t-1', { isDraining: true }),
     makeTarget('t-2', { zone: 'port' }),
@@ -130,9 +131,9 @@
   t.like(scene.all('answer')[0], { status: 503, reason: 'noTarget' });
 });
 
-test('an older configuration changes nothing', (t) => {
-  // A lagging peer tells of the configuration before the last one. Going back to it would undo what
-  // the operator was told is in force.
+test('an older configuration is ignored', (t) => {
+  // A lagging peer sends the previous configuration. Adopting it would undo a change that was
+  // confirmed to the operator.
   const scene = new Scene(TARGETS);
   scene.dispatch({
     kind: 'tableRead',
@@ -146,15 +147,15 @@
   t.is(scene.all('answer')[0].status, 404);
 });
 
-test('before a configuration is known a request is refused, not called unknown', (t) => {
-  // A process that has just started knows no route. A caller told 404 would give up for good.
+test('without a configuration a request is refused with status 503, not 404', (t) => {
+  // A process that has just started knows no routes. A caller that gets status 404 would not retry.
   const scene = new Scene(TARGETS);
   scene.state.table = undefined;
   scene.arrive();
   t.like(scene.all('answer')[0], { status: 503, reason: 'notConfigured' });
 });
 
-test('a target that takes no connection is left alone, and the request goes on for free', (t) => {
+test('a target that accepts no connection is avoided, and trying another one takes no retry', (t) => {
   const scene = new Scene(TARGETS, [ONCE]);
   scene.arrive();
   scene.answerProbes();
@@ -165,8 +166,9 @@
   t.not(scene.lastSent.to.target, dead);
 });
 
-test('an answer of a target that went and came back under its id is not its own', (t) => {
-  // A target restarts under the id it had. A probe of its earlier life must say nothing of this one.
+test('a probe of an earlier process of a target does not affect the restarted one', (t) => {
+  // A target restarts under the same id. A probe of its earlier process must not affect the new
+  // one.
   const scene = new Scene([makeTarget('t-1')]);
   scene.arrive();
   scene.dispatch({ kind: 'targetsRead', targets: [makeTarget('t-1', { bornAt: 2 })] });
@@ -179,7 +181,7 @@
   t.is(scene.state.targets.get('t-1')?.deadUntil, 0);
 });
 
-test('what was sent in the last moments of a planned stop is refused', (t) => {
+test('requests that arrive at the end of a graceful shutdown are refused', (t) => {
   const scene = new Scene(TARGETS);
   scene.dispatch({ kind: 'stopAsked' });
   scene.now += 1_000;
--- a/src/tests/balancing/scene.ts
+++ b/src/tests/balancing/scene.ts
@@ -1,5 +1,5 @@
 import type {
-  AttemptEnd,
+  AttemptResult,
   BalancerEffect,
   BalancerEvent,
   BalancerState,
@@ -7,13 +7,13 @@
   LoadReading,
   Route,
   RoutingTable,
-  TargetEntry,
+  TargetRegistration,
 } from '../../balancing/index.js';
 import { createBalancerState, reduceBalancer } from '../../balancing/index.js';
 import type { ExposureBound } from '../../rollouts/index.js';
 import { createRandom } from '../../standIns/models/index.js';
 
-/** A route to one service, as a test needs it. */
+/** A route to one service. */
 export const ROUTE: Route = {
   name: 'lookup',
   host: 'door.example',
@@ -35,7 +35,10 @@
   limits: { bodyBytes: 1_000_000, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 },
 };
 
-export function makeTarget(id: string, changes: Partial<TargetEntry> = {}): TargetEntry {
+export function makeTarget(
+  id: string,
+  changes: Partial<TargetRegistration> = {},
+): TargetRegistration {
   return {
     id,
     service: 'horaires',
@@ -50,7 +53,7 @@
   };
 }
 
-/** What a target with two slots says of its load. */
+/** Creates the load reading of a target with two slots. */
 export function makeReading(at: number, running: number): LoadReading {
   return { at, running, waiting: 0, slots: 2, slowdown: 1, isHealthy: true };
 }
@@ -67,7 +70,7 @@
   };
 }
 
-/** One entry VM's decisions, with the time and the world in the test's hands. */
+/** Drives the balancer of one entry VM with a simulated clock. */
 export class Scene {
   now = 1_000;
 
@@ -78,7 +81,7 @@
   private lastRequest = 0;
 
   constructor(
-    targets: readonly TargetEntry[],
+    targets: readonly TargetRegistration[],
     routes: readonly Route[] = [ROUTE],
     vm = 'vm-1',
     rollouts?: ExposureBound,
@@ -90,14 +93,14 @@
 
   private readonly random = createRandom(1);
 
-  /** Hands an event over and gives what is to be done. */
+  /** Handles an event and returns its effects. */
   dispatch(event: BalancerEvent): BalancerEffect[] {
     const made = reduceBalancer(this.state, event, { now: this.now, random: this.random });
     this.effects.push(...made);
     return made;
   }
 
-  /** A caller's request; gives its number. */
+  /** Sends a caller's request and returns its id. */
   arrive(path = '/horaires/today', allowedMs: number | undefined = 4_000): number {
     this.lastRequest += 1;
     this.dispatch({
@@ -112,7 +115,7 @@
     return this.lastRequest;
   }
 
-  /** Answers every probe that is out, each target as idle or as busy as `running` says. */
+  /** Answers every open probe; `running` gives the number of requests that a target runs. */
   answerProbes(running: (target: string) => number = () => 0, coldMs = 0): void {
     for (const record of this.state.targets.values()) {
       if (record.probeSentAt === undefined) continue;
@@ -129,19 +132,19 @@
     }
   }
 
-  /** The sending made last. */
+  /** The latest attempt. */
   get lastSent(): EffectOf<'sendAttempt'> {
     const sent = this.all('sendAttempt').at(-1);
-    if (sent === undefined) throw new Error('nothing was sent');
+    if (sent === undefined) throw new Error('no attempt was sent');
     return sent;
   }
 
-  /** Ends the sending made last. */
-  end(end: AttemptEnd): void {
+  /** Ends the latest attempt. */
+  end(end: AttemptResult): void {
     this.dispatch({ kind: 'attemptEnded', attempt: this.lastSent.attempt, end });
   }
 
-  /** Lets time pass and looks at a request again. */
+  /** Advances the clock and wakes a request up. */
   wait(ms: number, request: number): void {
     this.now += ms;
     this.dispatch({ kind: 'wakeDue', request });
--- a/src/tests/balancing/starting.test.ts
+++ b/src/tests/balancing/starting.test.ts
@@ -7,13 +7,13 @@
 const TARGETS = [makeTarget('t-1'), makeTarget('t-2')];
 const ALLOWED_MS = 4_000;
 
-/** An entry VM that has just started and knows nothing. */
+/** An entry VM that has just started and has read nothing yet. */
 class Start {
   readonly state = createBalancerState(makeSettings('vm-1'));
 
   readonly effects: BalancerEffect[] = [];
 
-  /** Hands an event over at a time, in milliseconds after the start. */
+  /** Handles an event at a time in milliseconds after the start. */
   at(now: number, event: BalancerEvent): void {
     this.effects.push(...reduceBalancer(this.state, event, { now, random: () => 0.5 }));
   }
@@ -30,7 +30,7 @@
     });
   }
 
-  /** Answers every probe that is out, each target as idle. */
+  /** Answers every open probe; all targets are idle. */
   answerProbes(now: number): void {
     for (const { entry, probeSentAt } of this.state.targets.values()) {
       if (probeSentAt === undefined) continue;
@@ -50,9 +50,10 @@
   }
 }
 
-test('requests that come while all VMs start are served as soon as targets are known', (t) => {
-  // All VMs lost power and are back. Each takes callers some 200 ms before it has read configuration
-  // and targets. Refused, callers come back when their objective is over, and all targets were idle.
+test('requests that arrive while all VMs start are served as soon as targets are known', (t) => {
+  // After a power loss all VMs accept callers some 200 ms before they have read configuration and
+  // targets. If they refused these callers, they would retry only after their objective has passed,
+  // while all targets are idle.
   const start = new Start();
   start.arrive(120, 1);
   start.at(150, { kind: 'tableRead', table: TABLE });
@@ -64,9 +65,9 @@
   t.deepEqual(start.sent, [1, 2]);
 });
 
-test('a VM that learns nothing refuses those who wait, and all others at once', (t) => {
-  // The store is away for a VM that starts, and so are the VMs that it could ask. Who comes is kept
-  // for half a second after the start at the most; nobody is kept for something that may never come.
+test('a VM that cannot read anything refuses held requests, and later ones at once', (t) => {
+  // Neither the store nor another VM can be reached. Requests are held for at most half a second
+  // after the start, since what they wait for may never arrive.
   const start = new Start();
   start.arrive(400, 1);
   start.at(500, { kind: 'wakeDue', request: 1 });
@@ -76,7 +77,7 @@
   for (const answer of start.answers) t.like(answer, { status: 503, reason: 'notConfigured' });
 });
 
-test('nothing is sent for a caller who left while the VM was starting', (t) => {
+test('nothing is sent for a caller that disconnected while the VM was starting', (t) => {
   const start = new Start();
   start.arrive(120, 1);
   start.at(130, { kind: 'callerLeft', request: 1 });
@@ -86,7 +87,7 @@
   t.deepEqual(start.sent, []);
 });
 
-test('a VM that knows a service without targets refuses once its start is over', (t) => {
+test('requests for a service without targets are refused once the startup time is over', (t) => {
   const start = new Start();
   start.at(150, { kind: 'tableRead', table: TABLE });
   start.at(160, { kind: 'targetsRead', targets: [] });
@@ -95,9 +96,9 @@
   t.like(start.answers[0], { status: 503, reason: 'noTarget' });
 });
 
-test('while targets are still being read a request waits until its service has enough of them', (t) => {
-  // After a loss of power all VMs read hundreds of targets over weak links, page by page. With the first few
-  // they need not wait for the last, but all of them would bury one or two.
+test('while targets are being read a request is held until its service has enough of them', (t) => {
+  // After a power loss all VMs read hundreds of targets over slow links, page by page. A request
+  // need not wait for the last target, but all VMs together would overload the first one or two.
   const start = new Start();
   start.arrive(120, 1);
   start.at(150, { kind: 'tableRead', table: TABLE });
--- a/src/tests/balancing/targetLog.test.ts
+++ b/src/tests/balancing/targetLog.test.ts
@@ -3,8 +3,8 @@
 import { makeTarget, Scene } from './scene.js';
 
 test('a VM that learns of hundreds of targets at once writes one line', (t) => {
-  // After a loss of power each VM wrote a line for each target before it served its first caller, and the
-  // bound on lines left out half of them.
+  // After a power loss each VM would write a line for each target before it serves its first
+  // caller, and the limit on log lines would drop half of them.
   const targets = Array.from({ length: 300 }, (_, i) => makeTarget(`t-${i}`));
   const scene = new Scene(targets);
   scene.dispatch({ kind: 'targetsRead', targets: targets.slice(2) });
--- a/src/tests/balancing/versions.test.ts
+++ b/src/tests/balancing/versions.test.ts
@@ -30,36 +30,36 @@
   scene.dispatch({ kind: 'rolloutGuided', order: ORDER.id, guidance, until });
 }
 
-/** Sends requests, each answered well; gives how many went to the new version. */
+/** Sends requests that are all answered well; returns how many went to the new version. */
 function serve(scene: Scene, count = REQUESTS): number {
-  let fresh = 0;
+  let toNewVersion = 0;
   for (let i = 0; i < count; i++) {
     scene.arrive('/horaires/today');
     scene.answerProbes();
     const sent = scene.all('sendAttempt').at(-1);
-    if (sent !== undefined && NEW_IDS.has(sent.to.target)) fresh += 1;
+    if (sent !== undefined && NEW_IDS.has(sent.to.target)) toNewVersion += 1;
     scene.now += 100;
     scene.end({ kind: 'answered', status: 200, reading: makeReading(scene.now, 0) });
-    // What the answer told is no longer fresh with the next request.
+    // The reading in the answer is no longer fresh for the next request.
     scene.now += 50;
   }
-  return fresh;
+  return toNewVersion;
 }
 
-test('before a coordinator has spoken nothing goes to the version that is ordered', (t) => {
+test('the new version gets no requests before a coordinator has sent guidance', (t) => {
   t.is(serve(makeScene(ORDER), 50), 0);
 });
 
 test('a trial gets its share of the requests', (t) => {
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'trial', share: 0.06 });
-  const fresh = serve(scene);
-  t.true(fresh > 0);
-  t.true(fresh < 0.1 * REQUESTS, `${fresh} of ${REQUESTS}`);
+  const toNewVersion = serve(scene);
+  t.true(toNewVersion > 0);
+  t.true(toNewVersion < 0.1 * REQUESTS, `${toNewVersion} of ${REQUESTS}`);
 });
 
-test('a VM that no longer hears of a rollout sends nothing to the new version', (t) => {
-  // It may have been condemned while this VM was cut off.
+test('a VM whose guidance has expired sends nothing to the new version', (t) => {
+  // The version may have been found bad while this VM was cut off.
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'moved', share: 1 }, 1_000);
   t.is(serve(scene, 5), 5);
@@ -67,40 +67,40 @@
   t.is(serve(scene, 20), 0);
 });
 
-test('a condemned version gets nothing, whatever another coordinator says after it', (t) => {
+test('a version that was found bad gets no requests, whatever another coordinator sends later', (t) => {
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'stopped', share: 0 });
   guide(scene, { phase: 'moved', share: 1 });
   t.is(serve(scene, 50), 0);
 });
 
-test('once it is completed nothing goes to old targets that are still listed', (t) => {
-  // They stop at once, without notice: a booking that is sent to one is lost.
+test('after a completed rollout old targets that are still listed get no requests', (t) => {
+  // Old targets stop without notice, and a booking sent to one of them is lost.
   const scene = makeScene({ ...ORDER, state: 'completed' });
   t.is(serve(scene, 50), 50);
 });
 
-test('a version that was taken back gets nothing after its order is removed', (t) => {
+test('a version that was rolled back gets no requests after its order is removed', (t) => {
   const scene = makeScene({ ...ORDER, state: 'rolledBack' });
   scene.dispatch({ kind: 'rolloutsRead', orders: [] });
   scene.now += 10_000;
   t.is(serve(scene, 50), 0);
 });
 
-test('targets of a new version get nothing while word of their order may be on its way', (t) => {
+test('targets of a new version get no requests while their order may not have been read yet', (t) => {
   const scene = makeScene();
   t.is(serve(scene, 20), 0);
   scene.now += 3_000;
   t.true(serve(scene, 50) > 0);
 });
 
-test('a VM that has not read the orders sends to the version that most targets have', (t) => {
+test('a VM that has not read the orders sends requests only to the most common version', (t) => {
   const scene = new Scene([...OLD, ...NEW.slice(1)], undefined, 'vm-1', { share: 0.1, slack: 50 });
   scene.now += 5_000;
   t.is(serve(scene, 50), 0);
 });
 
-test('a request that fails on trial is repeated at an old target', (t) => {
+test('a request that fails in a trial is retried at an old target', (t) => {
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'trial', share: 1 });
   scene.arrive('/horaires/today');
@@ -111,33 +111,33 @@
   t.false(NEW_IDS.has(scene.all('sendAttempt')[1].to.target));
 });
 
-test('what a version on trial takes is not learnt of the service', (t) => {
+test('the times of a version in a trial are not used to learn about the service', (t) => {
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'trial', share: 1 });
-  const before = scene.state.work.get(scene.state.table!.routes[0]);
+  const before = scene.state.workTimes.get(scene.state.table!.routes[0]);
   scene.arrive('/horaires/today');
   scene.answerProbes();
   scene.now += 1_000;
   scene.end({ kind: 'answered', status: 200, reading: makeReading(scene.now, 0) });
-  t.is(scene.state.work.get(scene.state.table!.routes[0]), before);
+  t.is(scene.state.workTimes.get(scene.state.table!.routes[0]), before);
 });
 
-test('answers count for and against each version, a late one as soon as it is late', (t) => {
+test('answers count for or against a version, an overdue one as soon as it is overdue', (t) => {
   const scene = makeScene(ORDER);
   guide(scene, { phase: 'trial', share: 1 });
   scene.arrive('/horaires/today');
   scene.answerProbes();
   scene.now += 1_500;
-  const [journey] = scene.state.journeys.keys();
-  scene.dispatch({ kind: 'wakeDue', request: journey });
+  const [request] = scene.state.pendingRequests.keys();
+  scene.dispatch({ kind: 'wakeDue', request });
   const { evidence } = scene.state.versions.rollouts.get('horaires')!;
   const [[key, count]] = Object.entries(evidence.totals);
   t.regex(key, /^new\d lookup$/);
   t.deepEqual(count, { answers: 1, bad: 1 });
 });
 
-test('a VM that starts in the middle of a rollout sends nothing to a version that it knows no order of', (t) => {
-  // Its list of orders may be seconds old, and that of targets newer.
+test('a VM that starts during a rollout sends nothing to a version without a known order', (t) => {
+  // Its list of orders may be seconds old while its list of targets is newer.
   const scene = new Scene([], undefined, 'vm-1', { share: 0.1, slack: 50 });
   scene.dispatch({ kind: 'rolloutsRead', orders: [] });
   scene.dispatch({ kind: 'targetsRead', targets: [...NEW.slice(1), ...OLD] });
--- a/src/tests/balancing/waiting.test.ts
+++ b/src/tests/balancing/waiting.test.ts
@@ -6,9 +6,9 @@
 const TARGETS = [makeTarget('t-1'), makeTarget('t-2'), makeTarget('t-3')];
 const SLOTS = 2;
 
-/** Has a request look twice at targets that are all full, so that it waits for room. */
+/** Lets a request find all targets full in two rounds, so that it waits for a free slot. */
 function arriveAndWait(scene: Scene): number {
-  // Longer than a reading of a moment ago is gone by.
+  // Longer than a reading counts as fresh.
   scene.now += 50;
   const request = scene.arrive();
   scene.answerProbes(() => SLOTS);
@@ -17,16 +17,16 @@
   return request;
 }
 
-/** Ends the first sending; its target says how many requests it still runs. */
+/** Ends the first attempt; its target reports how many requests it still runs. */
 function endFirst(scene: Scene, running: number): void {
   const reading = makeReading(scene.now, running);
   const end = { kind: 'answered', status: 200, reading } as const;
   scene.dispatch({ kind: 'attemptEnded', attempt: 1, end });
 }
 
-test('a slot that an answer frees goes at once to a request that waits', (t) => {
-  // All targets are full, and a request waits. It looked by itself every 25 ms, so that a slot stood
-  // idle meanwhile although the answer that freed it had said so.
+test('a slot that an answer shows as free is used at once by a waiting request', (t) => {
+  // All targets are full, and a request waits. If it only looked for itself every 25 ms, a slot
+  // would stay idle in between although the answer that freed it has shown it.
   const scene = new Scene(TARGETS);
   scene.arrive();
   scene.answerProbes();
@@ -38,9 +38,10 @@
   t.is(scene.all('probe').length, probes);
 });
 
-test('of those who wait the newest goes first, and one slot serves one of them', (t) => {
-  // A burst leaves many waiting. The oldest is the most likely to be late even if it goes now; served
-  // first, it makes the next one late as well, and so on until all of them are.
+test('the newest waiting request is sent first, and one free slot serves one request', (t) => {
+  // After a burst many requests wait. The oldest is the most likely to be late even if it is sent
+  // now. Served first, it would make the next one late as well, and so on until all of them are
+  // late.
   const scene = new Scene(TARGETS);
   scene.arrive();
   scene.answerProbes();
@@ -53,9 +54,9 @@
   );
 });
 
-test('a request whose probes are out waits for them, and takes the best', (t) => {
-  // Load is low, and a request has asked five targets. Sent to the first of which anything is heard,
-  // it gets a slot on which work takes longer while another target is idle.
+test('a request with open probes waits for them and takes the best target', (t) => {
+  // Under light load a request has probed several targets. If it were sent to the first one that
+  // reports its load, it would get a slot on which work takes longer while another target is idle.
   const scene = new Scene(TARGETS);
   scene.arrive();
   scene.answerProbes();
@@ -63,16 +64,16 @@
   const request = scene.arrive();
   scene.answerProbes(() => SLOTS);
   scene.wait(30, request);
-  const idle = scene.all('sendAttempt')[0].to.target === 't-3' ? 't-2' : 't-3';
+  const idleTarget = scene.all('sendAttempt')[0].to.target === 't-3' ? 't-2' : 't-3';
   endFirst(scene, 1);
   t.is(scene.all('sendAttempt').length, 1);
-  scene.answerProbes((target) => (target === idle ? 0 : 1));
-  t.is(scene.lastSent.to.target, idle);
+  scene.answerProbes((target) => (target === idleTarget ? 0 : 1));
+  t.is(scene.lastSent.to.target, idleTarget);
 });
 
-test('a caller whose request cannot be in time is told so within its objective', (t) => {
-  // All targets stay full. The request was held until long after its objective, and its caller, told
-  // then to come back, had little time left.
+test('a request that cannot meet its objective is refused within that objective', (t) => {
+  // All targets stay full. If the request were held until long after its objective, its caller
+  // would have little time left to retry.
   const scene = new Scene(TARGETS);
   const startedAt = scene.now;
   const request = scene.arrive();
@@ -85,14 +86,15 @@
   t.true(scene.now - startedAt < ROUTE.objectiveMs);
 });
 
-test('under a surge refused callers are told so within their objective', (t) => {
-  // 1.6 times the load that targets bear at ease. Refused callers were held for 395 ms on the mean
-  // with an objective of 300 ms before late requests gave way, for 100 ms since (virtual time).
+test('in a surge requests are refused within their objective', (t) => {
+  // The load is 1.6 times what targets handle without slowing down. Refused callers wait 100 ms on
+  // average with an objective of 300 ms; without the early refusal of late requests it would be 395
+  // ms (virtual time).
   const { score } = playLab(LAB_PLANS.surge, 7);
   t.true(score.heldMs < LAB_PLANS.surge.routes[0].objectiveMs);
 });
 
-/** Has a caller ask first, so that the next one is known to be late. */
+/** Lets callers send first tries, so that a later retry is recognised. */
 function learnCallerTimes(scene: Scene): void {
   for (let i = 0; i < 10; i++) {
     scene.arrive();
@@ -102,10 +104,10 @@
   }
 }
 
-test('a late request is not refused before a target has told its load', (t) => {
-  // All VMs are back after a loss of power, and callers come who were late before. Each VM opens all its
-  // connections at once, so that probes take 40 ms; late requests were refused after two rounds without a
-  // single answer, while all targets were idle.
+test('a late request is not refused before a target has reported its load', (t) => {
+  // After a power loss callers retry that are late already. Each VM opens all its connections at
+  // once, so that probes take 40 ms. Late requests must not be refused after two rounds without an
+  // answer, since all targets may be idle.
   const scene = new Scene(TARGETS);
   learnCallerTimes(scene);
   const sent = scene.all('sendAttempt').length;
@@ -118,7 +120,7 @@
   t.is(scene.all('sendAttempt').length, sent + 1);
 });
 
-test('a late request is refused at once when targets have told that they are full', (t) => {
+test('a late request is refused at once if targets have reported that they are full', (t) => {
   const scene = new Scene(TARGETS);
   learnCallerTimes(scene);
   const request = scene.arrive('/horaires/today', 1_500);
@@ -129,9 +131,9 @@
   t.is(scene.all('answer')[0].status, 503);
 });
 
-test('a late request is refused at once when no target may be asked', (t) => {
-  // All targets of a service take no connection and are left alone for a moment. There is nobody to hear
-  // from, so that waiting would only take of the time that its caller has left.
+test('a late request is refused at once if no target may be probed', (t) => {
+  // All targets of a service accept no connection and are in their backoff. No answer can arrive,
+  // so waiting would only use up the time that the caller has left.
   const scene = new Scene(TARGETS);
   learnCallerTimes(scene);
   for (const { entry } of scene.state.targets.values()) {
--- a/src/tests/fleet/RolloutSync.test.ts
+++ b/src/tests/fleet/RolloutSync.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 
-import type { VmEntry } from '../../balancing/index.js';
+import type { VmAnnouncement } from '../../balancing/index.js';
 import type { FleetStore } from '../../fleet/FleetStore.js';
 import { StoreCallError } from '../../fleet/FleetStore.js';
 import { FleetView } from '../../fleet/FleetView.js';
@@ -18,7 +18,7 @@
 type StoreMode = 'sound' | 'away' | 'losesAnswers' | 'conflicts';
 
 interface VmScene {
-  readonly vm: VmEntry;
+  readonly vm: VmAnnouncement;
   readonly view: FleetView;
   readonly sync: RolloutSync;
   readonly timers: TimerService;
--- a/src/tests/fleet/firstStart.test.ts
+++ b/src/tests/fleet/firstStart.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 
-import type { VmEntry, VmRoster } from '../../balancing/index.js';
+import type { VmAnnouncement, VmRoster } from '../../balancing/index.js';
 import { FeedClient } from '../../fleet/FeedClient.js';
 import { FleetMembership } from '../../fleet/FleetMembership.js';
 import type { FleetStore, Section, SectionItems } from '../../fleet/FleetStore.js';
@@ -61,7 +61,7 @@
   // The three seeds announce the other VMs. If each VM made two calls at its start, the first
   // second of hundreds of VMs would cost as much as watching the store all day.
   const ports = await findPorts(VMS);
-  const entries: VmEntry[] = ports.map((port, i) => ({
+  const entries: VmAnnouncement[] = ports.map((port, i) => ({
     name: `vm-${i}`,
     zone: `zone-${i % 3}`,
     callers: `${HOST}:1`,
--- a/src/tests/gateway/TargetRequest.test.ts
+++ b/src/tests/gateway/TargetRequest.test.ts
@@ -3,14 +3,14 @@
 
 import test from 'ava';
 
-import type { AttemptEnd } from '../../balancing/index.js';
+import type { AttemptResult } from '../../balancing/index.js';
 import { TargetAgent } from '../../gateway/TargetAgent.js';
 import type { TargetAnswer } from '../../gateway/TargetRequest.js';
 import { TargetRequest } from '../../gateway/TargetRequest.js';
 import { SystemClock } from '../../timing/index.js';
 
 interface Outcome {
-  readonly end: AttemptEnd;
+  readonly end: AttemptResult;
   readonly answer: TargetAnswer | undefined;
 }
 
@@ -181,7 +181,7 @@
 
 test('a request counts as unsent if no connection was established', async (t) => {
   const agent = new TargetAgent(4);
-  const end = await new Promise<AttemptEnd>((resolve) => {
+  const end = await new Promise<AttemptResult>((resolve) => {
     const targetRequest = new TargetRequest({
       agent,
       clock: new SystemClock(),
--- a/src/tests/gateway/pipelining.test.ts
+++ b/src/tests/gateway/pipelining.test.ts
@@ -143,7 +143,7 @@
   caller.socket.resetAndDestroy();
   await harness.waitUntil(() => harness.abortedIds.length === 3);
   t.deepEqual([...harness.abortedIds].sort(), ['a', 'b', 'c']);
-  t.is(harness.gateway.state.journeys.size, 0);
+  t.is(harness.gateway.state.pendingRequests.size, 0);
 });
 
 test('the number of requests that one connection has at targets is limited', async (t) => {
