--- a/src/bench/idleCapacity.ts
+++ b/src/bench/idleCapacity.ts
@@ -1,7 +1,7 @@
 import { fileURLToPath } from 'node:url';
 
 import type { CoreSettings } from '../core/index.js';
-import { mayDrive } from '../core/index.js';
+import { canDrive } from '../core/index.js';
 import { makeDeployment } from '../proof/deployments.js';
 import { VirtualFleet } from '../proof/VirtualFleet.js';
 
@@ -49,7 +49,7 @@
   for (const vm of fleet.current.values()) {
     if (vm.life === 'ended') continue;
     for (const { config, partition } of vm.state.targets.records.values()) {
-      if (mayDrive(vm.state, partition, vm.now())) driven.add(config.id);
+      if (canDrive(vm.state, partition, vm.now())) driven.add(config.id);
     }
   }
   return fleet.targets.size - driven.size;
--- a/src/core/configuration/ConfigurationState.ts
+++ b/src/core/configuration/ConfigurationState.ts
@@ -10,50 +10,51 @@
   ZoneName,
 } from '../model/index.js';
 
-/** The configuration in force here and what is being fetched to follow a later one. */
+/** The configuration in force in this process, and the progress of fetching a later one. */
 export interface ConfigurationState {
   root?: ConfigRoot;
   current: FleetConfig;
   readonly services: Map<ServiceName, ServiceConfig>;
   readonly zones: Map<ZoneName, ZoneConfig>;
-  /** Targets of each service, from its file or the VM list; leaving targets are absent. */
+  /** Targets of each service, from its file or the VM list, without leaving targets. */
   readonly targets: Map<ServiceName, readonly TargetConfig[]>;
-  /** Descriptions by hash, those in force and those fetched for the next root. */
+  /** Service objects by hash: those in force and those fetched for the next root. */
   readonly objects: Map<string, ServiceObject>;
   vms: readonly VmListEntry[];
   vmsByService: ReadonlyMap<ServiceName, readonly VmListEntry[]>;
   leavingVms: ReadonlySet<string>;
-  /** Last time that the store, or a majority, bore out that `current` is the latest. */
+  /** Last time for which the store, a peer or a majority confirmed `current` as the latest. */
   confirmedAt: number;
-  /** A later root whose descriptions are being fetched. */
+  /** A later root whose service objects are being fetched. */
   next?: ConfigRoot;
-  /** Whom the descriptions of `next` were asked of, by hash. */
+  /** Progress of fetching the service objects of `next`, by hash. */
   readonly fetches: Map<string, ServiceFetch>;
-  /** Version of the root in the store that was read last; undefined before. */
+  /** Store version of the root at the last read; undefined before the first one. */
   rootVersion?: number;
-  /** Generation of the root in the store that was read last. */
+  /** Generation of the root at the last read. */
   rootGeneration: number;
   /** When a peer was last asked for its root. */
-  askedAt: number;
-  /** True while a reading or watch of the root is out. */
-  isReading: boolean;
-  /** Last time that this process read the root itself. */
-  readAt: number;
-  /** Roots of a known generation but other content, logged once each. */
-  readonly strangeRoots: Set<string>;
+  rootRequestedAt: number;
+  /** True while a read or watch of the root is pending. */
+  isRootCallPending: boolean;
+  /** When this process last started to read or watch the root. */
+  lastRootCallAt: number;
+  /** Nonces of roots with the current generation but other content, each logged once. */
+  readonly conflictingRoots: Set<string>;
 }
 
-/** How the fetching of one description stands. */
+/** Progress of fetching one service object. */
 export interface ServiceFetch {
-  /** Peers that were asked so far. */
-  asks: number;
-  askedAt: number;
-  /** True while the store is asked. */
-  isReading: boolean;
+  /** Requests sent to peers; reset when a read from the store fails. */
+  peerRequests: number;
+  /** When a peer was last asked, or a store read last ended. */
+  lastTriedAt: number;
+  /** True while a read from the store is pending. */
+  isStoreReadPending: boolean;
 }
 
 /**
- * Makes the state of a process that has heard of no configuration.
+ * Creates the state of a process that does not know any configuration yet.
  * @param _now - Monotonic milliseconds.
  */
 export function createConfigurationState(_now: number): ConfigurationState {
@@ -69,9 +70,9 @@
     confirmedAt: Number.NEGATIVE_INFINITY,
     fetches: new Map(),
     rootGeneration: 0,
-    askedAt: Number.NEGATIVE_INFINITY,
-    isReading: false,
-    readAt: Number.NEGATIVE_INFINITY,
-    strangeRoots: new Set(),
+    rootRequestedAt: Number.NEGATIVE_INFINITY,
+    isRootCallPending: false,
+    lastRootCallAt: Number.NEGATIVE_INFINITY,
+    conflictingRoots: new Set(),
   };
 }
--- a/src/core/configuration/adopt.ts
+++ b/src/core/configuration/adopt.ts
@@ -10,8 +10,8 @@
 
 const NO_VMS: readonly VmListEntry[] = [];
 
-/** Targets of a service that names none itself: the VMs that the platform lists for it. */
-function targetsFromVms(
+/** Makes the targets of a service that declares none, from the VMs that the platform lists. */
+function makeTargetsFromVms(
   service: ServiceConfig,
   vms: readonly VmListEntry[],
 ): readonly TargetConfig[] {
@@ -25,8 +25,8 @@
     }));
 }
 
-/** Targets that a file names, without those the platform lists as leaving. */
-function declaredTargets(
+/** Returns the targets that a service's file declares, without those listed as leaving. */
+function getDeclaredTargets(
   service: ServiceConfig,
   leavingVms: ReadonlySet<string>,
 ): readonly TargetConfig[] {
@@ -39,8 +39,9 @@
 }
 
 /**
- * Works out the targets of some services anew; gives those whose list changed. The others are left
- * alone: with many services each change would else hold the one loop up for milliseconds.
+ * Recomputes the targets of the given services and returns the services whose list changed. Other
+ * services are not visited: with many of them, each change would block the event loop for
+ * milliseconds.
  * @param state - The process's state.
  * @param names - The services.
  */
@@ -52,11 +53,11 @@
     if (service === undefined) continue;
     const next =
       service.targets.length > 0
-        ? declaredTargets(service, leavingVms)
-        : targetsFromVms(service, vmsByService.get(name) ?? NO_VMS);
-    const before = targets.get(name);
+        ? getDeclaredTargets(service, leavingVms)
+        : makeTargetsFromVms(service, vmsByService.get(name) ?? NO_VMS);
+    const previous = targets.get(name);
     const isSame =
-      before?.length === next.length && next.every((each, i) => isSameTarget(each, before[i]));
+      previous?.length === next.length && next.every((each, i) => isSameTarget(each, previous[i]));
     if (isSame) continue;
     targets.set(name, next);
     changed.push(name);
@@ -65,27 +66,27 @@
 }
 
 /**
- * Sorts a VM list by service and takes it as the latest.
+ * Stores the latest VM list, grouped by service.
  * @param state - The process's state.
  * @param vms - The list.
  */
-export function takeVmList(state: EntryState, vms: readonly VmListEntry[]): void {
+export function setVmList(state: EntryState, vms: readonly VmListEntry[]): void {
   const { configuration } = state;
   const byService = new Map<ServiceName, VmListEntry[]>();
   const leaving = new Set<string>();
   for (const vm of vms) {
     if (vm.state === 'leaving') leaving.add(vm.name);
     if (vm.service === undefined) continue;
-    const listed = byService.get(vm.service);
-    if (listed === undefined) byService.set(vm.service, [vm]);
-    else listed.push(vm);
+    const serviceVms = byService.get(vm.service);
+    if (serviceVms === undefined) byService.set(vm.service, [vm]);
+    else serviceVms.push(vm);
   }
   configuration.vms = vms;
   configuration.vmsByService = byService;
   configuration.leavingVms = leaving;
 }
 
-/** Descriptions that a root names and this process doesn't have. */
+/** Returns the services of a root whose objects this process lacks. */
 export function getMissingServices(
   state: EntryState,
   root: ConfigRoot,
@@ -117,8 +118,8 @@
   return [...changed];
 }
 
-/** Forgets descriptions that neither the configuration in force nor the next one names. */
-function dropUnusedObjects(state: EntryState): void {
+/** Drops service objects that neither the configuration in force nor the next one names. */
+function removeUnusedObjects(state: EntryState): void {
   const { next, objects, root } = state.configuration;
   const used = new Set([
     ...Object.values(root?.services ?? {}),
@@ -128,7 +129,7 @@
 }
 
 /**
- * Puts a configuration into force, all of whose descriptions are known.
+ * Puts a configuration into force. All of its service objects must be present.
  * @param state - The process's state.
  * @param root - The accepted root.
  */
@@ -143,7 +144,7 @@
   };
   configuration.next = undefined;
   configuration.fetches.clear();
-  dropUnusedObjects(state);
+  removeUnusedObjects(state);
   return [
     {
       kind: 'log',
--- a/src/core/configuration/configurationPart.ts
+++ b/src/core/configuration/configurationPart.ts
@@ -2,21 +2,21 @@
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
 import type { CorePart, EventOf, MessageHandler } from '../Handler.js';
-import { refreshTargets, takeVmList } from './adopt.js';
-import { offerObjects, offerRoot } from './offerRoot.js';
-import { handleConfigurationAsked, handleHello } from './spread.js';
+import { refreshTargets, setVmList } from './adopt.js';
+import { receiveObjects, receiveRoot } from './receiveRoot.js';
+import { handleConfigurationAsked, handleHello } from './gossip.js';
 import { followRoot, handleRootRead, handleServiceRead } from './watchRoot.js';
 
-function handlePushed(
+function handleConfigurationPushed(
   state: EntryState,
   event: EventOf<'configurationPushed'>,
   context: Context,
 ): Effect[] {
-  return offerRoot(state, event.root, event.services, undefined, context);
+  return receiveRoot(state, event.root, event.services, undefined, context);
 }
 
 function handleVmList(state: EntryState, event: EventOf<'vmListRead'>): Effect[] {
-  takeVmList(state, event.vms);
+  setVmList(state, event.vms);
   const changed = refreshTargets(state, state.configuration.services.keys());
   if (changed.length === 0) return [];
   return [
@@ -27,15 +27,20 @@
   ];
 }
 
-const handleTold: MessageHandler<'configurationTold'> = (state, from, message, context) => {
+const handleConfigurationTold: MessageHandler<'configurationTold'> = (
+  state,
+  from,
+  message,
+  context,
+) => {
   const { root, services } = message;
   const peer = state.fleet.peers.get(from);
-  if (root === undefined) return offerObjects(state, services, context);
+  if (root === undefined) return receiveObjects(state, services, context);
   if (peer !== undefined) peer.generation = Math.max(peer.generation, root.generation);
-  return offerRoot(state, root, services, from, context);
+  return receiveRoot(state, root, services, from, context);
 };
 
-function handleResolved(
+function handleStoreResolved(
   state: EntryState,
   event: EventOf<'storeResolved'>,
   context: Context,
@@ -51,16 +56,16 @@
   }
 }
 
-/** Which configuration is in force here, and how this process follows a later one. */
+/** Keeps the configuration of this process and follows later ones. */
 export const configurationPart: CorePart = {
   handlers: {
-    configurationPushed: handlePushed,
-    storeResolved: handleResolved,
+    configurationPushed: handleConfigurationPushed,
+    storeResolved: handleStoreResolved,
     vmListRead: handleVmList,
   },
   messages: {
     configurationAsked: handleConfigurationAsked,
-    configurationTold: handleTold,
+    configurationTold: handleConfigurationTold,
     hello: handleHello,
   },
   jobs: { watchConfiguration: followRoot },
--- a/src/core/configuration/fetch.ts
+++ b/src/core/configuration/fetch.ts
@@ -7,51 +7,55 @@
 import { getMissingServices } from './adopt.js';
 import type { ServiceFetch } from './ConfigurationState.js';
 
-/** Peers that are asked for a description before the store is. */
-const PEER_ASKS = 2;
+/** Requests to peers for a service object before it is read from the store. */
+const MAX_PEER_REQUESTS = 2;
 
-/** A peer that has not sent a description by then is taken not to. */
-const ASK_AGAIN_MS = 250;
+/** Time after which a service object that has not arrived is requested again. */
+const FETCH_RETRY_MS = 250;
 
-/** Descriptions asked of a peer in one message. */
-const BATCH = 64;
+/** Most service objects requested from a peer in one message. */
+const MAX_REQUESTS_PER_MESSAGE = 64;
 
-interface Missing {
+interface MissingService {
   readonly name: ServiceName;
   readonly hash: string;
 }
 
-/** Key of a service's description in the store. */
-export function getServiceKey({ name, hash }: Missing): string {
+/** Returns the store key of a service object. */
+export function getServiceKey({ name, hash }: MissingService): string {
   return `config/services/${name}/${hash}`;
 }
 
-/** A peer that is likely to have the next root: the one that told, else any that is as far. */
-function chooseSource(
+/** Chooses a peer that should have the next root: its sender, or any with that generation. */
+function chooseFetchPeer(
   state: EntryState,
   source: EntryVmId | undefined,
   context: Context,
 ): Member | undefined {
   const { peers } = state.fleet;
-  const told = source === undefined ? undefined : peers.get(source);
-  if (told !== undefined) return told.member;
+  const sourcePeer = source === undefined ? undefined : peers.get(source);
+  if (sourcePeer !== undefined) return sourcePeer.member;
   const generation = state.configuration.next?.generation ?? 0;
-  const able = [...peers.values()].filter((peer) => peer.generation >= generation);
-  return able[Math.floor(context.random() * able.length)]?.member;
+  const candidates = [...peers.values()].filter((peer) => peer.generation >= generation);
+  return candidates[Math.floor(context.random() * candidates.length)]?.member;
 }
 
 function getFetch(state: EntryState, hash: string): ServiceFetch {
   const { fetches } = state.configuration;
-  const known = fetches.get(hash);
-  if (known !== undefined) return known;
-  const fetch = { asks: 0, askedAt: Number.NEGATIVE_INFINITY, isReading: false };
+  const existing = fetches.get(hash);
+  if (existing !== undefined) return existing;
+  const fetch = {
+    peerRequests: 0,
+    lastTriedAt: Number.NEGATIVE_INFINITY,
+    isStoreReadPending: false,
+  };
   fetches.set(hash, fetch);
   return fetch;
 }
 
-function readFromStore(state: EntryState, missing: Missing, context: Context): Effect[] {
+function readFromStore(state: EntryState, missing: MissingService, context: Context): Effect[] {
   const fetch = getFetch(state, missing.hash);
-  fetch.isReading = true;
+  fetch.isStoreReadPending = true;
   const op = { op: 'get', key: getServiceKey(missing) } as const;
   const tag = missing.hash;
   const call = { storeClass: 'configuration', purpose: 'serviceRead', tag, op } as const;
@@ -59,13 +63,13 @@
 }
 
 /**
- * Fetches the descriptions that the next root names and that are not here: from peers first, since
- * a whole fleet that reads the same objects at once would use up the store's reads.
+ * Fetches the service objects of the next root that this process lacks. Peers are asked first: a
+ * whole fleet that reads the same objects at once would exhaust the store's read budget.
  * @param state - The process's state.
- * @param source - Peer that told the root, if one did.
- * @param context - Time and chance.
+ * @param source - Peer that sent the root, if one did.
+ * @param context - Current time and random source.
  */
-export function fetchMissing(
+export function fetchServices(
   state: EntryState,
   source: EntryVmId | undefined,
   context: Context,
@@ -74,26 +78,29 @@
   if (next === undefined) return [];
   const due = getMissingServices(state, next).filter(({ hash }) => {
     const fetch = getFetch(state, hash);
-    return !fetch.isReading && context.now - fetch.askedAt >= ASK_AGAIN_MS;
+    return !fetch.isStoreReadPending && context.now - fetch.lastTriedAt >= FETCH_RETRY_MS;
   });
-  const from = chooseSource(state, source, context);
+  const from = chooseFetchPeer(state, source, context);
   const forPeers = due
-    .filter(({ hash }) => from !== undefined && getFetch(state, hash).asks < PEER_ASKS)
-    .slice(0, BATCH);
-  const asked = new Set(forPeers.map(({ hash }) => hash));
+    .filter(
+      ({ hash }) => from !== undefined && getFetch(state, hash).peerRequests < MAX_PEER_REQUESTS,
+    )
+    .slice(0, MAX_REQUESTS_PER_MESSAGE);
+  const requested = new Set(forPeers.map(({ hash }) => hash));
   const effects: Effect[] = [];
   for (const { hash } of forPeers) {
     const fetch = getFetch(state, hash);
-    fetch.asks += 1;
-    fetch.askedAt = context.now;
+    fetch.peerRequests += 1;
+    fetch.lastTriedAt = context.now;
   }
   if (from !== undefined && forPeers.length > 0) {
     const have = current.generation;
     effects.push(sendTo(from, { kind: 'configurationAsked', have, services: forPeers }));
   }
   for (const missing of due) {
-    const isTried = from === undefined || getFetch(state, missing.hash).asks >= PEER_ASKS;
-    if (isTried && !asked.has(missing.hash)) {
+    const shouldUseStore =
+      from === undefined || getFetch(state, missing.hash).peerRequests >= MAX_PEER_REQUESTS;
+    if (shouldUseStore && !requested.has(missing.hash)) {
       effects.push(...readFromStore(state, missing, context));
     }
   }
@@ -101,13 +108,13 @@
 }
 
 /**
- * Ends a reading of a description; after a failure peers are asked anew.
+ * Records the end of a store read of a service object. After a failure, peers are asked again.
  * @param state - The process's state.
- * @param hash - The description's hash.
- * @param object - What was read, if it was.
+ * @param hash - Hash of the object.
+ * @param object - The object; undefined if the read failed.
  * @param now - Monotonic milliseconds.
  */
-export function endReading(
+export function recordStoreRead(
   state: EntryState,
   hash: string,
   object: ServiceObject | undefined,
@@ -115,7 +122,7 @@
 ): void {
   const fetch = state.configuration.fetches.get(hash);
   if (fetch === undefined) return;
-  fetch.isReading = false;
-  fetch.askedAt = now;
-  if (object === undefined) fetch.asks = 0;
+  fetch.isStoreReadPending = false;
+  fetch.lastTriedAt = now;
+  if (object === undefined) fetch.peerRequests = 0;
 }
--- a/src/core/configuration/spread.ts
+++ b/src/core/configuration/gossip.ts
@@ -5,36 +5,36 @@
 import { sendTo } from '../fleet/index.js';
 import type { EntryVmId, ServiceObject } from '../model/index.js';
 
-/** Peers that are told of a new configuration at once; each of them tells as many. */
-const FAN_OUT = 3;
+/** Peers that a process sends a new configuration to; each of them sends it on to as many. */
+const GOSSIP_FAN_OUT = 3;
 
-/** Descriptions sent in one message. */
-const BATCH = 64;
+/** Most service objects sent in one message. */
+const MAX_OBJECTS_PER_MESSAGE = 64;
 
-/** A generation that a peer named is asked for again only after this time. */
-const ASK_AGAIN_MS = 300;
+/** Minimum time between two requests for a later root, in milliseconds. */
+const ROOT_RETRY_MS = 300;
 
 /**
- * Tells a few peers of the configuration that has just come into force. They tell others, so that
- * it is everywhere after a few hops even with the store down; heartbeats, which name the
- * generation, find those that were missed.
+ * Sends the configuration that has just come into force to a few peers. They send it on, so that it
+ * reaches all processes after a few hops even if the store is down. Heartbeats name the generation,
+ * so that processes missed by this find out too.
  * @param state - The process's state.
- * @param source - Peer that told this process.
- * @param context - Time and chance.
+ * @param source - Peer that sent it to this process, if one did.
+ * @param context - Current time and random source.
  */
-export function spreadRoot(
+export function gossipRoot(
   state: EntryState,
   source: EntryVmId | undefined,
   context: Context,
 ): Effect[] {
   const { root } = state.configuration;
   if (root === undefined) return [];
-  const behind = [...state.fleet.peers.values()].filter(
+  const outdatedPeers = [...state.fleet.peers.values()].filter(
     (peer) => peer.member.id !== source && peer.generation < root.generation,
   );
   const effects: Effect[] = [];
-  for (let i = 0; i < FAN_OUT && behind.length > 0; i++) {
-    const [peer] = behind.splice(Math.floor(context.random() * behind.length), 1);
+  for (let i = 0; i < GOSSIP_FAN_OUT && outdatedPeers.length > 0; i++) {
+    const [peer] = outdatedPeers.splice(Math.floor(context.random() * outdatedPeers.length), 1);
     if (peer === undefined) break;
     effects.push(sendTo(peer.member, { kind: 'configurationTold', root, services: [] }));
   }
@@ -42,13 +42,13 @@
 }
 
 /**
- * Asks a peer that is further for its configuration.
+ * Records the generation in force at a peer, and asks for its configuration if it is later.
  * @param state - The process's state.
  * @param from - The peer.
- * @param generation - The generation in force there.
- * @param context - Time and chance.
+ * @param generation - The generation in force at the peer.
+ * @param context - Current time and random source.
  */
-export function noteGeneration(
+export function recordPeerGeneration(
   state: EntryState,
   from: EntryVmId,
   generation: number,
@@ -59,13 +59,13 @@
   const peer = state.fleet.peers.get(from);
   if (peer === undefined) return [];
   peer.generation = Math.max(peer.generation, generation);
-  if (generation <= known || context.now - configuration.askedAt < ASK_AGAIN_MS) return [];
-  configuration.askedAt = context.now;
+  if (generation <= known || context.now - configuration.rootRequestedAt < ROOT_RETRY_MS) return [];
+  configuration.rootRequestedAt = context.now;
   const have = configuration.current.generation;
   return [sendTo(peer.member, { kind: 'configurationAsked', have, services: [] })];
 }
 
-/** Answers with the root, if it is later than the peer's, and the descriptions asked for. */
+/** Answers with the root, if it is later than the peer's, and the requested service objects. */
 export const handleConfigurationAsked: MessageHandler<'configurationAsked'> = (
   state,
   from,
@@ -75,17 +75,17 @@
   if (peer === undefined) return [];
   const { objects, root } = state.configuration;
   const services: ServiceObject[] = [];
-  for (const { hash } of message.services.slice(0, BATCH)) {
+  for (const { hash } of message.services.slice(0, MAX_OBJECTS_PER_MESSAGE)) {
     const object = objects.get(hash);
     if (object !== undefined) services.push(object);
   }
   const isLater = root !== undefined && root.generation > message.have;
   if (!isLater && services.length === 0) return [];
-  const told = isLater ? { root, services } : { services };
-  return [sendTo(peer.member, { kind: 'configurationTold', ...told })];
+  const content = isLater ? { root, services } : { services };
+  return [sendTo(peer.member, { kind: 'configurationTold', ...content })];
 };
 
-/** Tells a process that made itself known the configuration in force. */
+/** Sends the configuration in force to a process that introduced itself. */
 export const handleHello: MessageHandler<'hello'> = (state, _from, message) => {
   const { root } = state.configuration;
   const known = state.fleet.peers.get(message.member.id);
--- a/src/core/configuration/index.ts
+++ b/src/core/configuration/index.ts
@@ -1,6 +1,6 @@
 export { configurationPart } from './configurationPart.js';
 export { createConfigurationState } from './ConfigurationState.js';
 export type { ConfigurationState } from './ConfigurationState.js';
-export { getConfirmedAgo, noteConfirmed } from './confirmed.js';
+export { getConfirmationAgeMs, recordConfirmation } from './confirmation.js';
 export { getKnownGeneration, getService, getTargetsOf, isZoneOut } from './queries.js';
-export { noteGeneration } from './spread.js';
+export { recordPeerGeneration } from './gossip.js';
--- a/src/core/configuration/queries.ts
+++ b/src/core/configuration/queries.ts
@@ -2,7 +2,7 @@
 import type { ServiceConfig, ServiceName, TargetConfig, ZoneName } from '../model/index.js';
 
 /**
- * A service of the configuration in force.
+ * Returns a service of the configuration in force.
  * @param state - The process's state.
  * @param name - The service's name.
  */
@@ -11,7 +11,7 @@
 }
 
 /**
- * The targets a service has now, without those that leave.
+ * Returns the current targets of a service, without leaving ones.
  * @param state - The process's state.
  * @param name - The service's name.
  */
@@ -20,7 +20,7 @@
 }
 
 /**
- * Whether operators have taken a zone out. A zone that the configuration doesn't know is out.
+ * Whether operators have taken a zone out. A zone missing from the configuration is out.
  * @param state - The process's state.
  * @param zone - The zone's name.
  */
@@ -29,8 +29,8 @@
 }
 
 /**
- * The latest generation that this process knows to be accepted. It may wait for descriptions before it
- * comes into force.
+ * Returns the latest generation that this process knows to be accepted. It may not be in force yet,
+ * while its service objects are being fetched.
  * @param state - The process's state.
  */
 export function getKnownGeneration({ configuration }: EntryState): number {
--- a/src/core/configuration/watchRoot.ts
+++ b/src/core/configuration/watchRoot.ts
@@ -5,24 +5,25 @@
 import { hashText } from '../hash.js';
 import type { ConfigRoot, ServiceObject } from '../model/index.js';
 import { enqueueStoreCall } from '../storeCalls/index.js';
-import { getConfirmedAgo, noteConfirmed } from './confirmed.js';
-import { endReading, fetchMissing } from './fetch.js';
-import { offerObjects, offerRoot } from './offerRoot.js';
+import { getConfirmationAgeMs, recordConfirmation } from './confirmation.js';
+import { recordStoreRead, fetchServices } from './fetch.js';
+import { receiveObjects, receiveRoot } from './receiveRoot.js';
 
+/** Store key of the configuration root. */
 const ROOT_KEY = 'config/root';
 
-/** How long a watch waits; its end is as good as a reading at that moment. */
-const WATCH_MS = 500;
+/** Duration of a watch. A watch that ends without a change confirms the root up to its end. */
+const WATCH_TIMEOUT_MS = 500;
 
-/** Word this old, as a share of the freshness limit, makes any process read the root itself. */
-const READ_SHARE = 0.6;
+/** Confirmation age above which any process reads the root, as a share of the freshness limit. */
+const READ_FRESHNESS_SHARE = 0.6;
 
-/** Between two readings by a process that is no watcher, in milliseconds. */
-const READ_AGAIN_MS = 400;
+/** Interval of reads by a process that is not a watcher, in milliseconds; jittered by half. */
+const READ_INTERVAL_MS = 400;
 
 /**
  * Whether this process is one of the few that watch the configuration in the store. A watcher that
- * dies leaves the assignment, and the next in order takes its place.
+ * fails is removed from the assignment, and the next process in the order replaces it.
  * @param state - The process's state.
  */
 export function isWatcher(state: EntryState): boolean {
@@ -35,13 +36,13 @@
   return ids.slice(0, state.settings.configurationWatchers).includes(self);
 }
 
-function callRoot(state: EntryState, isWatch: boolean, context: Context): Effect[] {
+function readOrWatchRoot(state: EntryState, isWatch: boolean, context: Context): Effect[] {
   const { configuration } = state;
-  configuration.isReading = true;
-  configuration.readAt = context.now;
+  configuration.isRootCallPending = true;
+  configuration.lastRootCallAt = context.now;
   const after = configuration.rootVersion;
   if (isWatch && after !== undefined) {
-    const op = { op: 'watch', key: ROOT_KEY, after, waitMs: WATCH_MS } as const;
+    const op = { op: 'watch', key: ROOT_KEY, after, waitMs: WATCH_TIMEOUT_MS } as const;
     const call = { storeClass: 'configuration', purpose: 'rootWatch', tag: '', op } as const;
     return enqueueStoreCall(state, call, context);
   }
@@ -51,23 +52,24 @@
 }
 
 /**
- * Follows the root: watchers without a break, others by reading it when their word grows old, as
- * it does if no watcher or no peer reaches them.
+ * Follows the root in the store. Watchers do so continuously. Other processes read it if their
+ * last confirmation is too old, as when no watcher or no peer reaches them.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function followRoot(state: EntryState, context: Context): Effect[] {
   const { configuration, settings } = state;
-  const effects = fetchMissing(state, undefined, context);
-  if (configuration.isReading) return effects;
-  if (isWatcher(state)) return [...effects, ...callRoot(state, true, context)];
-  const isOld = getConfirmedAgo(state, context.now) > settings.freshnessMs * READ_SHARE;
-  const pause = READ_AGAIN_MS * (0.5 + context.random());
-  if (!isOld || context.now - configuration.readAt < pause) return effects;
-  return [...effects, ...callRoot(state, false, context)];
+  const effects = fetchServices(state, undefined, context);
+  if (configuration.isRootCallPending) return effects;
+  if (isWatcher(state)) return [...effects, ...readOrWatchRoot(state, true, context)];
+  const isOld =
+    getConfirmationAgeMs(state, context.now) > settings.freshnessMs * READ_FRESHNESS_SHARE;
+  const intervalMs = READ_INTERVAL_MS * (0.5 + context.random());
+  if (!isOld || context.now - configuration.lastRootCallAt < intervalMs) return effects;
+  return [...effects, ...readOrWatchRoot(state, false, context)];
 }
 
-/** Takes what a reading or a watch of the root brought. */
+/** Handles the result of a read or a watch of the root. */
 export function handleRootRead(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -75,29 +77,29 @@
 ): Effect[] {
   const { configuration } = state;
   const { op, result, sentAt } = event;
-  configuration.isReading = false;
+  configuration.isRootCallPending = false;
   if (result.kind === 'unchanged' && op.op === 'watch') {
-    // The store answers no earlier than that, so nothing was accepted until then.
+    // The store answers `unchanged` no earlier than that, so no later root was written before then.
     const generation = configuration.rootGeneration;
-    noteConfirmed(state, generation, sentAt + op.waitMs);
+    recordConfirmation(state, generation, sentAt + op.waitMs);
     return [];
   }
   if (result.kind === 'missing') {
     configuration.rootVersion = 0;
     configuration.rootGeneration = 0;
-    noteConfirmed(state, 0, sentAt);
+    recordConfirmation(state, 0, sentAt);
     return [];
   }
   if (result.kind !== 'found') return [];
   const root = result.entry.value as ConfigRoot;
   configuration.rootVersion = result.entry.version;
   configuration.rootGeneration = root.generation;
-  const effects = offerRoot(state, root, [], undefined, context);
-  noteConfirmed(state, root.generation, sentAt);
+  const effects = receiveRoot(state, root, [], undefined, context);
+  recordConfirmation(state, root.generation, sentAt);
   return effects;
 }
 
-/** Takes a description that was read from the store. */
+/** Handles the result of reading a service object from the store. */
 export function handleServiceRead(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -105,6 +107,6 @@
 ): Effect[] {
   const { result, tag } = event;
   const object = result.kind === 'found' ? (result.entry.value as ServiceObject) : undefined;
-  endReading(state, tag, object, context.now);
-  return object === undefined ? [] : offerObjects(state, [object], context);
+  recordStoreRead(state, tag, object, context.now);
+  return object === undefined ? [] : receiveObjects(state, [object], context);
 }
--- a/src/core/fleet/FleetState.ts
+++ b/src/core/fleet/FleetState.ts
@@ -1,169 +1,174 @@
 import type { Assignment, EntryVmId, Member, PartitionId, TargetHandover } from '../model/index.js';
 import type { CoreSettings } from '../settings.js';
 
-/** A heartbeat that was sent and when, to date the answer that echoes it. */
+/** A sent heartbeat. Its send time dates the reply that echoes its sequence number. */
 export interface SentHeartbeat {
   readonly sequence: number;
   readonly at: number;
 }
 
-/** Another entry VM as this one knows it. Times are monotonic milliseconds of this process. */
+/** Another entry VM, as known to this process. Times are monotonic milliseconds of this process. */
 export interface Peer {
   readonly member: Member;
-  /** Last time anything was heard from it; the time it became known, if nothing was. */
-  heardAt: number;
-  /** True once a message came from it. */
-  isHeard: boolean;
+  /** When its last message arrived; before the first message, when it became known. */
+  lastHeardAt: number;
+  /** True once a message arrived from it. */
+  hasBeenHeard: boolean;
   appliedEpoch: number;
   generation: number;
   leaving: boolean;
-  /** No later than this its lease ends, by what it last told. */
+  /** Latest time at which its lease ends, according to its last heartbeat. */
   leaseEndsBy: number;
-  /** Version of its lease in the store that it last told; 0 if it told none. */
+  /** Store version of its lease, according to its last heartbeat; 0 without a lease. */
   leaseVersion: number;
-  /** Last heartbeat heard from it. */
-  heardSequence: number;
-  /** Last heartbeats sent to it, the latest last. */
-  readonly sent: SentHeartbeat[];
-  /** Epoch that it acknowledged by `assignmentHeard`; 0 before. */
-  heardEpoch: number;
-  /** Whom it bore out an earlier epoch to, and no earlier than when it can have been last. */
+  /** Highest sequence number of the heartbeats that arrived from it. */
+  lastReceivedSequence: number;
+  /** Most recent heartbeats sent to it, oldest first. */
+  readonly sentHeartbeats: SentHeartbeat[];
+  /** Latest epoch that it acknowledged with `assignmentHeard`; 0 before the first one. */
+  ackedEpoch: number;
+  /** Members to which it confirmed an earlier epoch, each with the latest possible time of that. */
   readonly confirmations: Map<EntryVmId, number>;
-  /** Last time the assignment was told to it. */
-  toldAt: number;
+  /** When the assignment was last sent to it. */
+  assignmentSentAt: number;
 }
 
-/** This process's lease object in the store. */
+/** This process's lease and its object in the store. */
 export interface OwnLease {
   /** Version of the object; 0 if there is none. */
   version: number;
   /**
-   * True once the assignment was read after the lease object was created. A lease counts only from
-   * then on: else a process whose lease was taken away could create it anew while the assignment
-   * that it knows is being replaced, and act under it for the length of a lease.
+   * True once the assignment was read after the lease object was created. The lease is valid only
+   * from then on. Otherwise a process whose lease object was deleted could create a new one while
+   * the assignment that it knows is being replaced, and act under the old one for a whole lease.
    */
-  isCurrent: boolean;
-  /** Writes whose outcome may still show: nonce and when they were sent. */
+  isActive: boolean;
+  /** Recent writes whose result may still become known: send time by nonce. */
   readonly writes: Map<string, number>;
   isPending: boolean;
   nextNonce: number;
-  /** End by the store alone. */
-  storeEnd: number;
-  /** End by a majority of members that know of no later epoch. */
-  confirmedEnd: number;
+  /** End of the lease as renewed in the store. */
+  storeExpiry: number;
+  /** End of the lease as confirmed by a majority of members that know of no later epoch. */
+  majorityExpiry: number;
   lastWriteAt: number;
 }
 
-/** What this process found out in the store about a silent member's lease. */
+/** What this process learned from the store about the lease of another member. */
 export interface Fence {
   isPending: boolean;
-  /** Epoch in force here when the pending call was made. */
-  sentEpoch: number;
-  /** Version that the lease had when the store told last; undefined if not asked yet. */
-  seenVersion?: number;
-  /** When the reading that first found that version was sent. */
-  seenAt: number;
-  /** When its answer came: the version was written before that. */
-  seenBy: number;
-  /** When the lease was last asked for. */
-  readAt: number;
-  /** When the last reading that was answered was sent. */
-  answeredAt: number;
-  /** Set once the lease object is gone: when the lease ends at the latest. */
-  endsBy?: number;
+  /** Epoch of this process when the pending store call was made. */
+  epochAtCall: number;
+  /** Latest version of the lease that the store reported; 0 if it is gone, undefined at first. */
+  observedVersion?: number;
+  /** Send time of the read that first returned that version. */
+  observedSince: number;
+  /** When that read was answered: the version was written before then. */
+  writtenBefore: number;
+  /** Send time of the last read. */
+  lastReadAt: number;
+  /** Send time of the last read that was answered. */
+  lastAnsweredReadAt: number;
+  /** Latest time at which the lease ends; set once the lease object is gone. */
+  leaseEndsBy?: number;
   /** Epoch that was already written when the lease object was found gone. */
-  epoch: number;
+  fencedEpoch: number;
 }
 
-/** From some time on a process acts under no epoch earlier than `before`. */
+/** From `at` on, a process acts under no epoch earlier than `before`. */
 export interface KnownLapse {
   readonly before: number;
   readonly at: number;
 }
 
-/** A question to all members whether they know of a later epoch. */
-export interface ConfirmRound {
+/** One request to all members to confirm that they know of no later epoch or configuration. */
+export interface ConfirmationRound {
   readonly round: number;
   readonly epoch: number;
-  readonly askedAt: number;
+  readonly sentAt: number;
   /** Members that know of no later epoch. */
-  readonly favourable: Set<EntryVmId>;
+  readonly epochAcks: Set<EntryVmId>;
   /** Members that know of no later configuration. */
-  readonly current: Set<EntryVmId>;
+  readonly configAcks: Set<EntryVmId>;
 }
 
-/** Targets that a releasing holder told of, kept until their partitions are granted. */
+/** State of targets sent by their releasing holder, kept until their partitions are granted. */
 export interface PendingHandover {
   readonly epoch: number;
   readonly targets: readonly TargetHandover[];
 }
 
-/** A hand-over that is sent again, since a message may be lost. */
+/** A hand-over that is sent several times, since a message may be lost. */
 export interface OutgoingHandover extends PendingHandover {
   readonly to: Member;
   sendsLeft: number;
 }
 
-/** How this process's attempts to change the assignment stand. */
+/** State of this process's attempts to change the assignment. */
 export interface AssignmentWrite {
-  /** Store version of the known assignment; undefined if it was heard from a peer. */
+  /** Store version of the known assignment; undefined if unknown, as when a peer sent it. */
   version?: number;
   isPending: boolean;
-  /** What is being written, to be known again when the answer is lost. */
+  /** The assignment that is being written; applied once the write succeeds. */
   proposed?: Assignment;
   failures: number;
   notBefore: number;
-  /** Processes that wrote a lease and wait to be members. */
+  /** Processes that hold a lease and wait to become members. */
   joiners: readonly Member[];
+  /** When the lease objects in the store were last listed. */
   listedAt: number;
-  /** When the epoch in force here was applied. */
+  /** When the current epoch was applied in this process. */
   appliedAt: number;
-  /** Epoch that this process wrote and therefore tells everyone of; 0 if none. */
-  coordinates: number;
+  /** Epoch that this process distributes and settles, usually as its writer; 0 if none. */
+  managedEpoch: number;
 }
 
-/** Who is in the fleet, who drives which partition, and whether this process may act. */
+/** Membership of the fleet, holders of its partitions, and the lease of this process. */
 export interface FleetState {
   assignment: Assignment;
   readonly peers: Map<EntryVmId, Peer>;
-  /** Partitions that this process drives: its own under the assignment, and released by others. */
+  /** Partitions that this process drives: assigned to it and released by all earlier holders. */
   readonly granted: Set<PartitionId>;
-  /** This process sends nothing after this time; monotonic milliseconds. */
+  /** This process sends nothing to targets after this time; monotonic milliseconds. */
   leaseEnd: number;
   stopping: boolean;
-  stopAskedAt: number;
+  stopRequestedAt: number;
   hasExited: boolean;
-  /** Since when a closing process has had no request. */
+  /** Since when a closing process has had no open request. */
   idleSince?: number;
   readonly lease: OwnLease;
   readonly write: AssignmentWrite;
-  /** Members to be taken out: their process ended, or their lease is fenced off. */
+  /** Members to remove: their process ended, or they are silent and do not renew their lease. */
   readonly departed: Set<EntryVmId>;
-  /** Processes that are proved to have ended. */
+  /** Processes that are proven to have ended. */
   readonly ended: Set<EntryVmId>;
+  /** Leases of other members, as observed in the store. */
   readonly fences: Map<EntryVmId, Fence>;
+  /** Known lapses by process. */
   readonly lapses: Map<EntryVmId, readonly KnownLapse[]>;
-  /** Members that keep partitions of this process from being granted, and since when. */
+  /** Earlier holders that may still drive partitions of this process, and since when they block. */
   readonly blockers: Map<EntryVmId, number>;
-  readonly rounds: ConfirmRound[];
+  readonly confirmationRounds: ConfirmationRound[];
   nextRound: number;
-  /** To whom this process bore out that it knows of no later epoch, and when. */
-  readonly confirmed: Map<EntryVmId, number>;
+  /** Members to which this process confirmed that it knows of no later epoch, and when. */
+  readonly givenConfirmations: Map<EntryVmId, number>;
+  /** Hand-overs that arrived, by sender. */
   readonly handovers: Map<EntryVmId, PendingHandover>;
-  readonly outgoing: OutgoingHandover[];
-  /** Holders by epoch and partition, worked out once. */
-  readonly holders: Map<number, Map<PartitionId, EntryVmId | undefined>>;
+  readonly outgoingHandovers: OutgoingHandover[];
+  /** Cache of holders by epoch and partition. */
+  readonly holdersByEpoch: Map<number, Map<PartitionId, EntryVmId | undefined>>;
   /** Members in ring order, without this process. */
   ring: readonly EntryVmId[];
-  nextRotation: number;
-  /** Last round of heartbeats. */
-  beatAt: number;
-  /** Since when the platform's list has been without a VM. */
+  /** Counts rounds of heartbeats, to rotate over receivers and services. */
+  rotation: number;
+  /** When the last round of heartbeats was sent. */
+  lastHeartbeatAt: number;
+  /** Members whose VM is missing from the platform's list, and since when. */
   readonly missingVms: Map<EntryVmId, number>;
 }
 
 /**
- * Makes the state of a process that knows only itself.
+ * Creates the state of a process that knows only itself.
  * @param settings - The process's settings.
  * @param now - Monotonic milliseconds.
  */
@@ -174,16 +179,16 @@
     granted: new Set(),
     leaseEnd: Number.NEGATIVE_INFINITY,
     stopping: false,
-    stopAskedAt: 0,
+    stopRequestedAt: 0,
     hasExited: false,
     lease: {
       version: 0,
-      isCurrent: false,
+      isActive: false,
       writes: new Map(),
       isPending: false,
       nextNonce: 1,
-      storeEnd: Number.NEGATIVE_INFINITY,
-      confirmedEnd: Number.NEGATIVE_INFINITY,
+      storeExpiry: Number.NEGATIVE_INFINITY,
+      majorityExpiry: Number.NEGATIVE_INFINITY,
       lastWriteAt: Number.NEGATIVE_INFINITY,
     },
     write: {
@@ -193,22 +198,22 @@
       joiners: [],
       listedAt: Number.NEGATIVE_INFINITY,
       appliedAt: now,
-      coordinates: 0,
+      managedEpoch: 0,
     },
     departed: new Set(),
     ended: new Set(),
     fences: new Map(),
     lapses: new Map(),
     blockers: new Map(),
-    rounds: [],
+    confirmationRounds: [],
     nextRound: 1,
-    confirmed: new Map(),
+    givenConfirmations: new Map(),
     handovers: new Map(),
-    outgoing: [],
-    holders: new Map(),
+    outgoingHandovers: [],
+    holdersByEpoch: new Map(),
     ring: [],
-    nextRotation: 0,
-    beatAt: Number.NEGATIVE_INFINITY,
+    rotation: 0,
+    lastHeartbeatAt: Number.NEGATIVE_INFINITY,
     missingVms: new Map(),
   };
 }
--- a/src/core/fleet/applyAssignment.ts
+++ b/src/core/fleet/applyAssignment.ts
@@ -10,17 +10,17 @@
 } from '../model/index.js';
 import { getHandover } from '../targets/index.js';
 import { updateGrants } from './grants.js';
-import { dropOldHolders, getHolderIn } from './holders.js';
+import { removeOldHolders, getHolderInEpoch } from './holders.js';
 import { isMember, refreshPeers, sendTo } from './peers.js';
 import { getLeaseDuration } from './periods.js';
 
-/** A hand-over is sent so many times: should all be lost, the next holder takes targets as cold. */
+/** Times that a hand-over is sent. If all are lost, the next holder treats the targets as cold. */
 const HANDOVER_SENDS = 3;
 
-function isLater(state: EntryState, offered: Assignment): boolean {
+function supersedesCurrent(state: EntryState, offered: Assignment): boolean {
   const { assignment } = state.fleet;
   if (offered.epoch !== assignment.epoch) return offered.epoch > assignment.epoch;
-  // The same epoch with fewer unsettled ones before it.
+  // The same epoch with fewer unsettled earlier epochs.
   return offered.epoch > 0 && offered.earlier.length < assignment.earlier.length;
 }
 
@@ -30,7 +30,7 @@
 ): Map<EntryVmId, TargetHandover[]> {
   const byHolder = new Map<EntryVmId, TargetHandover[]>();
   for (const partition of lost) {
-    const holder = getHolderIn(state, state.fleet.assignment, partition);
+    const holder = getHolderInEpoch(state, state.fleet.assignment, partition);
     if (holder === undefined) continue;
     const targets = byHolder.get(holder) ?? [];
     targets.push(...getHandover(state, partition));
@@ -39,12 +39,12 @@
   return byHolder;
 }
 
-/** Stops driving what is no longer this process's own, before anything else is done. */
-function releaseLost(state: EntryState): Effect[] {
-  const { assignment, granted, outgoing } = state.fleet;
+/** Stops driving partitions that are now assigned to others, before anything else is done. */
+function releaseLostPartitions(state: EntryState): Effect[] {
+  const { assignment, granted, outgoingHandovers } = state.fleet;
   const self = state.settings.self.id;
   const lost = [...granted].filter(
-    (partition) => getHolderIn(state, assignment, partition) !== self,
+    (partition) => getHolderInEpoch(state, assignment, partition) !== self,
   );
   for (const partition of lost) granted.delete(partition);
   if (lost.length === 0) return [];
@@ -53,7 +53,7 @@
     const to = assignment.members.find((member) => member.id === holder);
     if (to === undefined) continue;
     const { epoch } = assignment;
-    outgoing.push({ to, epoch, targets, sendsLeft: HANDOVER_SENDS - 1 });
+    outgoingHandovers.push({ to, epoch, targets, sendsLeft: HANDOVER_SENDS - 1 });
     effects.push(sendTo(to, { kind: 'handover', epoch, targets }));
   }
   const { epoch } = assignment;
@@ -61,21 +61,21 @@
   return effects;
 }
 
-/** A lease renewed under a larger epoch may last longer than others reckon with from now on. */
-function shortenLease(state: EntryState, now: number): void {
+/** Limits a lease that was renewed under a larger epoch to what the others now assume. */
+function limitLeaseEnd(state: EntryState, now: number): void {
   const { fleet, settings } = state;
   const latest = now + getLeaseDuration(settings, fleet.assignment.members.length);
-  fleet.lease.storeEnd = Math.min(fleet.lease.storeEnd, latest);
-  fleet.lease.confirmedEnd = Math.min(fleet.lease.confirmedEnd, latest);
+  fleet.lease.storeExpiry = Math.min(fleet.lease.storeExpiry, latest);
+  fleet.lease.majorityExpiry = Math.min(fleet.lease.majorityExpiry, latest);
   fleet.leaseEnd = Math.min(fleet.leaseEnd, latest);
 }
 
 /**
- * Acts under an assignment if it is later than the one in force here.
+ * Applies an assignment if it is later than the current one.
  * @param state - The process's state.
- * @param offered - As read from the store or told by a peer that had it from there.
+ * @param offered - The assignment, read from the store or sent by a peer that had it from there.
  * @param version - Its version in the store, if known.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function applyAssignment(
   state: EntryState,
@@ -84,7 +84,7 @@
   context: Context,
 ): Effect[] {
   const { fleet } = state;
-  if (!isLater(state, offered)) {
+  if (!supersedesCurrent(state, offered)) {
     const isSame =
       offered.epoch === fleet.assignment.epoch && offered.nonce === fleet.assignment.nonce;
     if (isSame && version !== undefined) fleet.write.version = version;
@@ -94,20 +94,20 @@
   fleet.assignment = offered;
   fleet.write.version = version;
   if (isNewEpoch) {
-    fleet.write.coordinates = 0;
-    // Whoever was listed before may be gone; a member that was taken out must not come back by it.
+    fleet.write.managedEpoch = 0;
+    // The list may name processes that are gone; a removed member must not be added again from it.
     fleet.write.joiners = [];
     fleet.write.appliedAt = context.now;
-    fleet.rounds.length = 0;
+    fleet.confirmationRounds.length = 0;
     fleet.handovers.forEach((handover, from) => {
       if (handover.epoch < offered.epoch) fleet.handovers.delete(from);
     });
   }
-  dropOldHolders(state);
+  removeOldHolders(state);
   refreshPeers(state, context.now);
-  const effects: Effect[] = isNewEpoch ? releaseLost(state) : [];
+  const effects: Effect[] = isNewEpoch ? releaseLostPartitions(state) : [];
   if (isNewEpoch) {
-    shortenLease(state, context.now);
+    limitLeaseEnd(state, context.now);
     const role = isMember(state, state.settings.self.id) ? 'member' : 'no member';
     const text = `epoch ${offered.epoch} with ${offered.members.length} members; ${role}`;
     effects.push({ kind: 'log', level: 'info', part: 'fleet', text });
--- a/src/core/fleet/tell.ts
+++ b/src/core/fleet/assignmentMessages.ts
@@ -5,53 +5,53 @@
 import type { EntryVmId, Member, RecentConfirmation } from '../model/index.js';
 import { applyAssignment } from './applyAssignment.js';
 import { updateGrants } from './grants.js';
-import { addAcquaintance, getKnownMembers, noteHeard, sendTo } from './peers.js';
-import { TELL_AGAIN_MS } from './periods.js';
+import { addPeer, getKnownMembers, recordHeard, sendTo } from './peers.js';
+import { ASSIGNMENT_RESEND_MS } from './periods.js';
 
-function getConfirmations(state: EntryState, now: number): RecentConfirmation[] {
-  return [...state.fleet.confirmed].map(([member, at]) => ({ member, agoMs: now - at }));
+function getRecentConfirmations(state: EntryState, now: number): RecentConfirmation[] {
+  return [...state.fleet.givenConfirmations].map(([member, at]) => ({ member, agoMs: now - at }));
 }
 
-/** Tells a process the assignment; it answers which epoch it acts under. */
-export function tellAssignment(state: EntryState, to: Member, now: number): Effect[] {
+/** Sends a process the assignment; it answers with the epoch that it acts under. */
+export function sendAssignment(state: EntryState, to: Member, now: number): Effect[] {
   const { assignment, peers } = state.fleet;
   const peer = peers.get(to.id);
   if (assignment.epoch === 0) return [];
-  if (peer !== undefined) peer.toldAt = now;
+  if (peer !== undefined) peer.assignmentSentAt = now;
   return [sendTo(to, { kind: 'assignmentTold', assignment })];
 }
 
-/** Tells all that may act under this epoch or an unsettled one. */
-export function tellEveryone(state: EntryState, now: number): Effect[] {
+/** Sends the assignment to all members of this epoch and of the unsettled ones. */
+export function broadcastAssignment(state: EntryState, now: number): Effect[] {
   return [...getKnownMembers(state).values()]
     .filter(({ id }) => !state.fleet.ended.has(id))
-    .flatMap((member) => tellAssignment(state, member, now));
+    .flatMap((member) => sendAssignment(state, member, now));
 }
 
-function isDueAgain(state: EntryState, id: EntryVmId, now: number): boolean {
+function isResendDue(state: EntryState, id: EntryVmId, now: number): boolean {
   const { assignment, ended, peers } = state.fleet;
   const peer = peers.get(id);
   if (peer === undefined || ended.has(id)) return false;
-  return peer.heardEpoch < assignment.epoch && now - peer.toldAt >= TELL_AGAIN_MS;
+  return peer.ackedEpoch < assignment.epoch && now - peer.assignmentSentAt >= ASSIGNMENT_RESEND_MS;
 }
 
 /**
- * Tells those again that have not acknowledged: all of them if this process wrote the epoch, else
- * those that keep its own partitions from being granted.
+ * Sends the assignment again to processes that have not acknowledged it: to all if this process
+ * coordinates the epoch, otherwise to those that block its own partitions.
  */
-export function tellAgain(state: EntryState, now: number): Effect[] {
+export function resendAssignment(state: EntryState, now: number): Effect[] {
   const { assignment, blockers, write } = state.fleet;
-  const isWriter = write.coordinates === assignment.epoch && assignment.epoch > 0;
+  const isCoordinator = write.managedEpoch === assignment.epoch && assignment.epoch > 0;
   const effects: Effect[] = [];
   for (const [id, member] of getKnownMembers(state)) {
-    if ((isWriter || blockers.has(id)) && isDueAgain(state, id, now)) {
-      effects.push(...tellAssignment(state, member, now));
+    if ((isCoordinator || blockers.has(id)) && isResendDue(state, id, now)) {
+      effects.push(...sendAssignment(state, member, now));
     }
   }
   return effects;
 }
 
-/** Answers with the epoch that this process acts under now. */
+/** Applies the assignment and answers with the epoch that this process now acts under. */
 export const handleAssignmentTold: MessageHandler<'assignmentTold'> = (
   state,
   from,
@@ -59,29 +59,29 @@
   context,
 ) => {
   const effects = applyAssignment(state, message.assignment, undefined, context);
-  const peer = noteHeard(state, from, context.now);
+  const peer = recordHeard(state, from, context.now);
   if (peer === undefined) return effects;
   const { epoch } = state.fleet.assignment;
   if (message.assignment.epoch < epoch) {
-    effects.push(...tellAssignment(state, peer.member, context.now));
+    effects.push(...sendAssignment(state, peer.member, context.now));
   }
-  const confirmations = getConfirmations(state, context.now);
+  const confirmations = getRecentConfirmations(state, context.now);
   effects.push(sendTo(peer.member, { kind: 'assignmentHeard', epoch, confirmations }));
   return effects;
 };
 
-/** Notes that a process acts under an epoch, and whom it may have borne out an earlier one to. */
+/** Records the epoch a process acts under and its recent confirmations of earlier epochs. */
 export const handleAssignmentHeard: MessageHandler<'assignmentHeard'> = (
   state,
   from,
   message,
   context,
 ) => {
-  const peer = noteHeard(state, from, context.now);
+  const peer = recordHeard(state, from, context.now);
   if (peer === undefined) return [];
   peer.appliedEpoch = Math.max(peer.appliedEpoch, message.epoch);
-  if (message.epoch > peer.heardEpoch) {
-    peer.heardEpoch = message.epoch;
+  if (message.epoch > peer.ackedEpoch) {
+    peer.ackedEpoch = message.epoch;
     for (const { member, agoMs } of message.confirmations) {
       peer.confirmations.set(member, context.now - agoMs);
     }
@@ -89,16 +89,16 @@
   return updateGrants(state, context.now);
 };
 
-/** Tells a process that made itself known what it should know. */
+/** Adds a process that introduced itself to the peers, and sends it the assignment. */
 export const handleHello: MessageHandler<'hello'> = (state, _from, message, context) => {
-  addAcquaintance(state, message.member, context.now);
+  addPeer(state, message.member, context.now);
   return [
-    ...tellAssignment(state, message.member, context.now),
+    ...sendAssignment(state, message.member, context.now),
     ...updateGrants(state, context.now),
   ];
 };
 
-/** Makes this process known to another. */
+/** Introduces this process to another. */
 export function sendHello(state: EntryState, to: Member, _context: Context): Effect {
   return sendTo(to, { kind: 'hello', member: state.settings.self });
 }
--- a/src/core/fleet/fence.ts
+++ b/src/core/fleet/fence.ts
@@ -7,45 +7,45 @@
 import type { Fence } from './FleetState.js';
 import { getLeaseDuration, getRenewPeriod, SUSPECT_AFTER_MS } from './periods.js';
 
-/** Between two readings of the same lease, in milliseconds. */
-const READ_AGAIN_MS = 300;
+/** Minimum time between two reads of the same lease, in milliseconds. */
+const LEASE_READ_INTERVAL_MS = 300;
 
-/** A lease is renewed at least once in so many periods, unless its holder can't. */
-const RENEWED_WITHIN_PERIODS = 1.3;
+/** A process that can renew its lease does so within this many renewal periods. */
+const MAX_RENEWAL_PERIODS = 1.3;
 
 /**
- * Key of a process's lease object.
+ * Returns the store key of a process's lease object.
  * @param id - The process.
  */
 export function getLeaseKey(id: EntryVmId): string {
   return `fleet/members/${id}`;
 }
 
-/** The longest that a lease renewed now can last, under any epoch that somebody may act under. */
-export function getLongestLease(state: EntryState): number {
+/** Longest duration of a lease renewed now, under any epoch that some process may act under. */
+export function getMaxLeaseDuration(state: EntryState): number {
   const { assignment } = state.fleet;
   const sizes = [assignment, ...assignment.earlier].map(({ members }) => members.length);
   return getLeaseDuration(state.settings, Math.max(...sizes));
 }
 
 function getFence(state: EntryState, id: EntryVmId): Fence {
-  const known = state.fleet.fences.get(id);
-  if (known !== undefined) return known;
+  const existing = state.fleet.fences.get(id);
+  if (existing !== undefined) return existing;
   const never = Number.NEGATIVE_INFINITY;
   const fence: Fence = {
     isPending: false,
-    sentEpoch: 0,
-    seenAt: never,
-    seenBy: never,
-    readAt: never,
-    answeredAt: never,
-    epoch: 0,
+    epochAtCall: 0,
+    observedSince: never,
+    writtenBefore: never,
+    lastReadAt: never,
+    lastAnsweredReadAt: never,
+    fencedEpoch: 0,
   };
   state.fleet.fences.set(id, fence);
   return fence;
 }
 
-function callFor(
+function callLeaseObject(
   state: EntryState,
   id: EntryVmId,
   op: StoreOp & { op: 'get' | 'delete' },
@@ -53,79 +53,79 @@
 ): Effect[] {
   const fence = getFence(state, id);
   fence.isPending = true;
-  fence.sentEpoch = state.fleet.assignment.epoch;
+  fence.epochAtCall = state.fleet.assignment.epoch;
   const purpose = op.op === 'get' ? 'memberRead' : 'memberDelete';
   return enqueueStoreCall(state, { storeClass: 'lease', purpose, tag: id, op }, context);
 }
 
 /**
- * Reads a member's lease, which tells whether it still renews it and which epoch it acts under.
+ * Reads a member's lease, which shows whether it is still renewed and which epoch is applied there.
  * @param state - The process's state.
  * @param id - The member.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function readLease(state: EntryState, id: EntryVmId, context: Context): Effect[] {
+export function readMemberLease(state: EntryState, id: EntryVmId, context: Context): Effect[] {
   const fence = getFence(state, id);
-  if (fence.isPending || context.now - fence.readAt < READ_AGAIN_MS) return [];
-  fence.readAt = context.now;
-  return callFor(state, id, { op: 'get', key: getLeaseKey(id) }, context);
+  if (fence.isPending || context.now - fence.lastReadAt < LEASE_READ_INTERVAL_MS) return [];
+  fence.lastReadAt = context.now;
+  return callLeaseObject(state, id, { op: 'get', key: getLeaseKey(id) }, context);
 }
 
 /**
- * Takes the lease object of a former member out of the store, so that it can't renew its lease
- * without reading the assignment again. The deletion goes by version, and a renewal changes the
- * version: if it is the one that the member last told, it renewed nothing since, and its lease ends
- * when it told it would. So the wait for a dead VM's lease runs from its last renewal, not from the
- * moment its death was noticed.
+ * Deletes the lease object of a former member from the store, so that it can't renew its lease
+ * without reading the assignment again. The deletion is conditional on the version, which every
+ * renewal changes. If it succeeds with the version from the member's last heartbeat, the member has
+ * not renewed its lease since, and the lease ends at the time given there. The wait for the lease
+ * of a dead VM thus starts at its last renewal, not when the failure was detected.
  * @param state - The process's state; its assignment no longer names the member.
  * @param id - The former member.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function deleteLease(state: EntryState, id: EntryVmId, context: Context): Effect[] {
+export function deleteMemberLease(state: EntryState, id: EntryVmId, context: Context): Effect[] {
   const fence = getFence(state, id);
   if (fence.isPending) return [];
-  const told = state.fleet.peers.get(id)?.leaseVersion ?? 0;
-  const expect = Math.max(told, fence.seenVersion ?? 0);
-  if (expect === 0) return readLease(state, id, context);
-  return callFor(state, id, { op: 'delete', key: getLeaseKey(id), expect }, context);
+  const announcedVersion = state.fleet.peers.get(id)?.leaseVersion ?? 0;
+  const expect = Math.max(announcedVersion, fence.observedVersion ?? 0);
+  if (expect === 0) return readMemberLease(state, id, context);
+  return callLeaseObject(state, id, { op: 'delete', key: getLeaseKey(id), expect }, context);
 }
 
 /**
- * Whether a silent member's lease shows that it is alive: it was renewed lately, or might have been
- * without this process knowing. Where only the way between two entry VMs is cut, both are well.
+ * Whether a silent member may still be alive: its lease was renewed recently, or may have been
+ * since the last read. If only the network between two entry VMs fails, both are alive.
  * @param state - The process's state.
  * @param id - The member.
  * @param now - Monotonic milliseconds.
  */
-export function mayBeRenewed(state: EntryState, id: EntryVmId, now: number): boolean {
+export function isPossiblyRenewed(state: EntryState, id: EntryVmId, now: number): boolean {
   const fence = state.fleet.fences.get(id);
-  if (fence?.seenVersion === undefined) return true;
+  if (fence?.observedVersion === undefined) return true;
   const peer = state.fleet.peers.get(id);
   const members = state.fleet.assignment.members.length;
-  const renewedWithin = getRenewPeriod(state.settings, members) * RENEWED_WITHIN_PERIODS;
-  const isAsTold = peer !== undefined && peer.leaseVersion === fence.seenVersion;
-  const since = isAsTold ? peer.heardAt : fence.seenAt;
-  const unchangedUntil = fence.answeredAt;
-  const patience = Math.max(SUSPECT_AFTER_MS, renewedWithin);
-  return unchangedUntil - since < patience || now - unchangedUntil > patience;
+  const maxRenewalGap = getRenewPeriod(state.settings, members) * MAX_RENEWAL_PERIODS;
+  const isAnnounced = peer !== undefined && peer.leaseVersion === fence.observedVersion;
+  const unchangedSince = isAnnounced ? peer.lastHeardAt : fence.observedSince;
+  const unchangedUntil = fence.lastAnsweredReadAt;
+  const requiredMs = Math.max(SUSPECT_AFTER_MS, maxRenewalGap);
+  return unchangedUntil - unchangedSince < requiredMs || now - unchangedUntil > requiredMs;
 }
 
-function noteGone(fence: Fence, endsBy: number): void {
-  fence.seenVersion = 0;
-  fence.seenAt = Number.NEGATIVE_INFINITY;
-  fence.endsBy = endsBy;
-  fence.epoch = fence.sentEpoch;
+function recordLeaseGone(fence: Fence, leaseEndsBy: number): void {
+  fence.observedVersion = 0;
+  fence.observedSince = Number.NEGATIVE_INFINITY;
+  fence.leaseEndsBy = leaseEndsBy;
+  fence.fencedEpoch = fence.epochAtCall;
 }
 
-function noteVersion(fence: Fence, version: number, sentAt: number, now: number): void {
-  if (version === fence.seenVersion) return;
-  fence.seenVersion = version;
-  fence.seenAt = sentAt;
-  fence.seenBy = now;
-  fence.endsBy = undefined;
+function recordLeaseVersion(fence: Fence, version: number, sentAt: number, now: number): void {
+  if (version === fence.observedVersion) return;
+  fence.observedVersion = version;
+  fence.observedSince = sentAt;
+  fence.writtenBefore = now;
+  fence.leaseEndsBy = undefined;
 }
 
-function handleDeleted(
+function handleLeaseDeletion(
   state: EntryState,
   event: EventOf<'storeResolved'>,
   fence: Fence,
@@ -133,27 +133,32 @@
 ): Effect[] {
   const { result, op, tag } = event;
   if (state.guards.readBackAfterUnknown(result)) {
-    const { sentEpoch } = fence;
-    const effects = callFor(state, tag, { op: 'get', key: getLeaseKey(tag) }, context);
-    fence.sentEpoch = sentEpoch;
+    const { epochAtCall } = fence;
+    const effects = callLeaseObject(state, tag, { op: 'get', key: getLeaseKey(tag) }, context);
+    fence.epochAtCall = epochAtCall;
     return effects;
   }
-  const longest = context.now + getLongestLease(state);
+  const latestEnd = context.now + getMaxLeaseDuration(state);
   const peer = state.fleet.peers.get(tag);
   if (result.kind === 'written' && op.op === 'delete') {
-    const isAsTold = peer?.leaseVersion === op.expect;
-    // The version that is gone was written before it was first read.
-    const isAsSeen = fence.seenVersion === op.expect;
-    const sinceSeen = isAsSeen ? fence.seenBy + getLongestLease(state) : longest;
-    noteGone(fence, Math.min(longest, sinceSeen, isAsTold ? peer.leaseEndsBy : longest));
+    const isAnnounced = peer?.leaseVersion === op.expect;
+    // The deleted version was written before it was first read.
+    const isObserved = fence.observedVersion === op.expect;
+    const endByObservation = isObserved
+      ? fence.writtenBefore + getMaxLeaseDuration(state)
+      : latestEnd;
+    recordLeaseGone(
+      fence,
+      Math.min(latestEnd, endByObservation, isAnnounced ? peer.leaseEndsBy : latestEnd),
+    );
   } else if (result.kind === 'conflict') {
-    if (result.version === 0) noteGone(fence, longest);
-    else noteVersion(fence, result.version, context.now, context.now);
+    if (result.version === 0) recordLeaseGone(fence, latestEnd);
+    else recordLeaseVersion(fence, result.version, context.now, context.now);
   }
   return [];
 }
 
-function handleRead(
+function handleMemberLeaseRead(
   state: EntryState,
   event: EventOf<'storeResolved'>,
   fence: Fence,
@@ -161,29 +166,29 @@
 ): void {
   const { result, sentAt, tag } = event;
   if (result.kind === 'missing') {
-    if (fence.endsBy === undefined || fence.epoch < fence.sentEpoch) {
-      noteGone(fence, now + getLongestLease(state));
+    if (fence.leaseEndsBy === undefined || fence.fencedEpoch < fence.epochAtCall) {
+      recordLeaseGone(fence, now + getMaxLeaseDuration(state));
     }
-    fence.answeredAt = sentAt;
+    fence.lastAnsweredReadAt = sentAt;
     return;
   }
   if (result.kind !== 'found') return;
-  noteVersion(fence, result.entry.version, sentAt, now);
-  fence.answeredAt = sentAt;
+  recordLeaseVersion(fence, result.entry.version, sentAt, now);
+  fence.lastAnsweredReadAt = sentAt;
   const peer = state.fleet.peers.get(tag);
   const record = result.entry.value as LeaseRecord;
   if (peer !== undefined) peer.appliedEpoch = Math.max(peer.appliedEpoch, record.appliedEpoch);
 }
 
-/** Follows up the store calls that are made about another member's lease. */
-export function handleLeaseOfOther(
+/** Handles the results of store calls about another member's lease. */
+export function handleMemberLeaseResolved(
   state: EntryState,
   event: EventOf<'storeResolved'>,
   context: Context,
 ): Effect[] {
   const fence = getFence(state, event.tag);
   fence.isPending = false;
-  if (event.purpose === 'memberDelete') return handleDeleted(state, event, fence, context);
-  handleRead(state, event, fence, context.now);
+  if (event.purpose === 'memberDelete') return handleLeaseDeletion(state, event, fence, context);
+  handleMemberLeaseRead(state, event, fence, context.now);
   return [];
 }
--- a/src/core/fleet/grants.ts
+++ b/src/core/fleet/grants.ts
@@ -1,13 +1,13 @@
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
 import type { EntryVmId, PartitionId } from '../model/index.js';
-import { getAllPartitions, getHolderIn } from './holders.js';
+import { getAllPartitions, getHolderInEpoch } from './holders.js';
 import { isMember } from './peers.js';
 
 /**
- * Whether a process acts under no epoch up to `epoch` any more: it applied a later one, its
- * process ended, or its lease lapsed after it could no longer be renewed. None of these is ever
- * taken back, so each member may conclude it at a time of its own.
+ * Whether a process no longer acts under any epoch up to `epoch`: it applied a later one, it ended,
+ * or its lease expired after it could no longer be renewed. Once true, each of these stays true, so
+ * members may find it out at different times.
  * @param state - The process's state.
  * @param id - The process.
  * @param epoch - An earlier epoch.
@@ -22,18 +22,18 @@
   return known.some(({ before, at }) => before > epoch && now >= at + state.settings.leaseMarginMs);
 }
 
-/** Earlier holders of a partition that may still act. */
+/** Returns the earlier holders of a partition that may still drive it. */
 function getBlockers(state: EntryState, partition: PartitionId, now: number): EntryVmId[] {
   const blockers: EntryVmId[] = [];
   for (const epoch of state.fleet.assignment.earlier) {
-    const holder = getHolderIn(state, epoch, partition);
+    const holder = getHolderInEpoch(state, epoch, partition);
     if (holder === undefined) continue;
     if (!isReleased(state, holder, epoch.epoch, now)) blockers.push(holder);
   }
   return blockers;
 }
 
-/** Announces what earlier holders told, for the targets that this process has by then. */
+/** Raises the hand-overs of the current epoch; those of targets not yet known stay pending. */
 export function raiseHandovers(state: EntryState): Effect[] {
   const { assignment, handovers } = state.fleet;
   return [...handovers.values()]
@@ -42,7 +42,7 @@
 }
 
 /**
- * Takes up the partitions that are this process's own and that no earlier holder may still drive.
+ * Grants the partitions that are assigned to this process and that no earlier holder may drive.
  * @param state - The process's state.
  * @param now - Monotonic milliseconds.
  */
@@ -54,10 +54,10 @@
   if (assignment.epoch > 0 && isMember(state, self)) {
     for (const partition of getAllPartitions(state)) {
       if (granted.has(partition)) continue;
-      if (getHolderIn(state, assignment, partition) !== self) continue;
-      const found = getBlockers(state, partition, now);
-      for (const id of found) blocking.add(id);
-      if (state.guards.waitForEarlierHolders(found.length === 0)) gained.push(partition);
+      if (getHolderInEpoch(state, assignment, partition) !== self) continue;
+      const blockedBy = getBlockers(state, partition, now);
+      for (const id of blockedBy) blocking.add(id);
+      if (state.guards.waitForEarlierHolders(blockedBy.length === 0)) gained.push(partition);
     }
   }
   for (const id of blockers.keys()) if (!blocking.has(id)) blockers.delete(id);
@@ -70,7 +70,7 @@
   ];
 }
 
-/** Whether every member of an earlier epoch acts under a later one or not at all. */
+/** Whether no member of an earlier epoch acts under it any more. */
 export function isSettled(
   state: EntryState,
   epoch: { readonly epoch: number; readonly members: readonly { readonly id: EntryVmId }[] },
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -1,4 +1,8 @@
-import { getConfirmedAgo, noteConfirmed, noteGeneration } from '../configuration/index.js';
+import {
+  getConfirmationAgeMs,
+  recordConfirmation,
+  recordPeerGeneration,
+} from '../configuration/index.js';
 import type { Context } from '../Context.js';
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
@@ -7,28 +11,28 @@
 import { getServiceSpare } from '../requests/index.js';
 import type { Peer } from './FleetState.js';
 import { updateGrants } from './grants.js';
-import { isMember, noteHeard, sendTo } from './peers.js';
-import { sendHello, tellAssignment } from './tell.js';
+import { isMember, recordHeard, sendTo } from './peers.js';
+import { sendHello, sendAssignment } from './assignmentMessages.js';
 
 /**
- * Neighbours on each side of the ring that get every heartbeat and watch this process. Together
- * with the one that takes turns, a process sends at most five heartbeats each 200 ms, whatever the
- * size of the fleet; up to six members that is a full mesh. A heartbeat is about 200 bytes on the
- * wire, so this stays near 5 KB/s of the 7 KB/s that control may take.
+ * Neighbours on each side of the ring that receive every heartbeat and monitor this process. With
+ * one more receiver in rotation, a process sends at most five heartbeats every 200 ms, whatever the
+ * size of the fleet; with up to six members that is a full mesh. A heartbeat takes about 200 bytes
+ * on the wire, so heartbeats use about 5 KB/s of the 7 KB/s allowed for control traffic.
  */
 export const NEIGHBOURS_PER_SIDE = 2;
 
-/** Services whose spare slots ride along with one heartbeat; they take turns. */
+/** Services whose spare slots are reported in one heartbeat, in rotation. */
 const SPARES_PER_HEARTBEAT = 2;
 
-/** A round that is due sooner after another is left out. */
-const MIN_PAUSE_MS = 100;
+/** A round that is due sooner than this after the previous one is skipped. */
+const MIN_ROUND_INTERVAL_MS = 100;
 
-/** Sent heartbeats that are remembered of one peer. */
-const REMEMBERED_HEARTBEATS = 16;
+/** Sent heartbeats that are kept per peer. */
+const MAX_SENT_HEARTBEATS = 16;
 
 /**
- * The members that watch this process and that it watches.
+ * Returns the members that this process monitors and that monitor it.
  * @param state - The process's state.
  */
 export function getNeighbours(state: EntryState): EntryVmId[] {
@@ -41,16 +45,16 @@
   const { fleet } = state;
   const ids = new Set(getNeighbours(state));
   const others = [...fleet.peers.keys()].filter((id) => !ids.has(id));
-  const next = others[fleet.nextRotation % Math.max(1, others.length)];
+  const next = others[fleet.rotation % Math.max(1, others.length)];
   if (next !== undefined) ids.add(next);
   return [...ids].map((id) => fleet.peers.get(id)).filter((peer) => peer !== undefined);
 }
 
-function getSpares(state: EntryState): ServiceSpare[] {
+function selectSpares(state: EntryState): ServiceSpare[] {
   const services = [...state.targets.byService.keys()].sort();
   const spares: ServiceSpare[] = [];
   for (let i = 0; i < Math.min(SPARES_PER_HEARTBEAT, services.length); i++) {
-    const index = (state.fleet.nextRotation * SPARES_PER_HEARTBEAT + i) % services.length;
+    const index = (state.fleet.rotation * SPARES_PER_HEARTBEAT + i) % services.length;
     const service = services[index];
     if (service !== undefined) spares.push(getServiceSpare(state, service));
   }
@@ -64,9 +68,9 @@
   now: number,
 ): Effect {
   const { fleet } = state;
-  const sequence = (peer.sent.at(-1)?.sequence ?? 0) + 1;
-  peer.sent.push({ sequence, at: now });
-  if (peer.sent.length > REMEMBERED_HEARTBEATS) peer.sent.shift();
+  const sequence = (peer.sentHeartbeats.at(-1)?.sequence ?? 0) + 1;
+  peer.sentHeartbeats.push({ sequence, at: now });
+  if (peer.sentHeartbeats.length > MAX_SENT_HEARTBEATS) peer.sentHeartbeats.shift();
   return sendTo(peer.member, {
     kind: 'heartbeat',
     appliedEpoch: fleet.assignment.epoch,
@@ -76,71 +80,71 @@
     leaving: fleet.stopping,
     spares,
     sequence,
-    echo: peer.heardSequence,
-    confirmedAgoMs: getConfirmedAgo(state, now),
+    echo: peer.lastReceivedSequence,
+    confirmedAgoMs: getConfirmationAgeMs(state, now),
   });
 }
 
 /**
- * Sends a round of heartbeats. A process that is no member makes itself known with it.
+ * Sends a round of heartbeats. A process that is not a member sends a `hello` with each of them.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function sendHeartbeats(state: EntryState, context: Context): Effect[] {
-  state.fleet.nextRotation += 1;
-  state.fleet.beatAt = context.now;
-  const spares = getSpares(state);
-  const isOutside = !isMember(state, state.settings.self.id);
+  state.fleet.rotation += 1;
+  state.fleet.lastHeartbeatAt = context.now;
+  const spares = selectSpares(state);
+  const isNotMember = !isMember(state, state.settings.self.id);
   return getReceivers(state).flatMap((peer) => {
     const heartbeat = sendHeartbeat(state, peer, spares, context.now);
-    return isOutside ? [sendHello(state, peer.member, context), heartbeat] : [heartbeat];
+    return isNotMember ? [sendHello(state, peer.member, context), heartbeat] : [heartbeat];
   });
 }
 
 /**
- * Sends the round that is due, unless one went out just before because the lease was renewed.
+ * Sends the round that is due, unless one was just sent because the lease was renewed.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function sendDueHeartbeats(state: EntryState, context: Context): Effect[] {
-  const isJustDone = context.now - state.fleet.beatAt < MIN_PAUSE_MS;
-  return isJustDone ? [] : sendHeartbeats(state, context);
+  const hasJustSent = context.now - state.fleet.lastHeartbeatAt < MIN_ROUND_INTERVAL_MS;
+  return hasJustSent ? [] : sendHeartbeats(state, context);
 }
 
-/** Brings a peer's configuration word into account, dated by this process's own clock. */
-function noteConfiguration(
+/** Records a peer's confirmation of the configuration, dated by this process's own clock. */
+function recordPeerConfirmation(
   state: EntryState,
   peer: Peer,
   echo: number,
   confirmedAgoMs: number,
 ): void {
-  const sent = peer.sent.find(({ sequence }) => sequence === echo);
-  // The peer sent its word after it had the heartbeat that it echoes, so not before that was sent.
-  if (sent !== undefined) noteConfirmed(state, peer.generation, sent.at - confirmedAgoMs);
+  const sent = peer.sentHeartbeats.find(({ sequence }) => sequence === echo);
+  // The peer sent this after the heartbeat that it echoes had arrived, so not before that was sent.
+  if (sent !== undefined) recordConfirmation(state, peer.generation, sent.at - confirmedAgoMs);
 }
 
-/** Notes how a peer stands; one that is behind is told the assignment. */
+/** Updates the state of a peer and sends it the assignment if it acts under an earlier epoch. */
 export const handleHeartbeat: MessageHandler<'heartbeat'> = (state, from, message, context) => {
-  const peer = noteHeard(state, from, context.now);
+  const peer = recordHeard(state, from, context.now);
   if (peer === undefined) return [];
-  const isLatest = message.sequence > peer.heardSequence;
+  const isLatest = message.sequence > peer.lastReceivedSequence;
   const hasNewEpoch = message.appliedEpoch > peer.appliedEpoch;
   peer.appliedEpoch = Math.max(peer.appliedEpoch, message.appliedEpoch);
   peer.generation = Math.max(peer.generation, message.generation);
   peer.leaving = peer.leaving || message.leaving;
   if (isLatest) {
-    peer.heardSequence = message.sequence;
+    peer.lastReceivedSequence = message.sequence;
     peer.leaseVersion = message.leaseVersion;
     peer.leaseEndsBy = context.now + message.leaseRemainingMs;
   }
-  noteConfiguration(state, peer, message.echo, message.confirmedAgoMs);
+  recordPeerConfirmation(state, peer, message.echo, message.confirmedAgoMs);
   const effects = message.spares.map((spare): Effect => ({
     kind: 'raise',
     event: { kind: 'spareHeard', peer: from, spare },
   }));
-  effects.push(...noteGeneration(state, from, message.generation, context));
+  effects.push(...recordPeerGeneration(state, from, message.generation, context));
   if (message.appliedEpoch < state.fleet.assignment.epoch) {
-    effects.push(...tellAssignment(state, peer.member, context.now));
+    effects.push(...sendAssignment(state, peer.member, context.now));
   }
   if (hasNewEpoch) effects.push(...updateGrants(state, context.now));
   return effects;
--- a/src/core/fleet/holders.ts
+++ b/src/core/fleet/holders.ts
@@ -3,24 +3,26 @@
 import type { EntryVmId, Member, PartitionId, TargetConfig } from '../model/index.js';
 import type { CoreSettings } from '../settings.js';
 
-/** What an epoch says of who drives what. */
+/** An epoch and its members, which determine the holder of every partition. */
 export interface EpochMembers {
   readonly epoch: number;
   readonly members: readonly Member[];
 }
 
 /**
- * Partitions that the targets of one service fall into in one zone. With one, a request finds a free
- * slot where it arrives most often, but the loss of a holder takes a whole zone of the service along;
- * with two the rest of a service in three zones still bears a load of 0.8 (docs/design/routing.md).
+ * Partitions over which the targets of one service are spread in one zone. With one, a request most
+ * often finds a free slot in the entry VM where it arrives, but the loss of a holder takes all
+ * targets of the service in the zone out of use. With two, the remaining targets of a service in
+ * three zones can still carry a load of 0.8 (docs/design/routing.md).
  */
 const PARTITIONS_PER_SERVICE = 2;
 
 /**
- * The partition that a target falls into. Targets of a service stay together: whoever drives several
- * of them need not forward what one of them has no slot for. It follows from the target's name
- * alone, so that all processes agree on it whatever configuration they have.
- * @param settings - Give the number of partitions of a zone.
+ * Returns the partition of a target. Targets of a service share few partitions: a holder with
+ * several of them can use another one when one has no free slot, without forwarding the request.
+ * The partition depends only on the target's service, id and zone, so all processes agree on it
+ * whichever configuration they have.
+ * @param settings - Provide the number of partitions per zone.
  * @param target - The target.
  */
 export function getPartition(settings: CoreSettings, target: TargetConfig): PartitionId {
@@ -29,7 +31,7 @@
 }
 
 /**
- * All partitions of the zones that the configuration names.
+ * Returns all partitions of the zones in the configuration.
  * @param state - The process's state.
  */
 export function getAllPartitions(state: EntryState): PartitionId[] {
@@ -41,9 +43,10 @@
 }
 
 /**
- * Which of some members drives a partition: one of the partition's zone if there is any. A zone
- * that is out changes nothing: its entry VMs are still near its targets, which may have requests
- * outstanding and come back soon. Moving the partitions would cost two hand-overs and gain nothing.
+ * Returns the member that drives a partition: one in the partition's zone if there is any. This
+ * also applies to a zone that is out, since its entry VMs remain closest to its targets, which may
+ * have outstanding requests and may return soon. Moving the partitions would cost two hand-overs
+ * and gain nothing.
  * @param partition - The partition.
  * @param members - The members of an epoch.
  */
@@ -59,39 +62,39 @@
 }
 
 /**
- * The holder of a partition in an epoch that this process knows, worked out once.
+ * Returns the holder of a partition in an epoch that this process knows, from a cache.
  * @param state - The process's state.
  * @param epoch - The current epoch or an earlier one.
  * @param partition - The partition.
  */
-export function getHolderIn(
+export function getHolderInEpoch(
   state: EntryState,
   epoch: EpochMembers,
   partition: PartitionId,
 ): EntryVmId | undefined {
-  let table = state.fleet.holders.get(epoch.epoch);
+  let table = state.fleet.holdersByEpoch.get(epoch.epoch);
   if (table === undefined) {
     table = new Map();
-    state.fleet.holders.set(epoch.epoch, table);
+    state.fleet.holdersByEpoch.set(epoch.epoch, table);
   }
   if (!table.has(partition)) table.set(partition, getHolder(partition, epoch.members)?.id);
   return table.get(partition);
 }
 
 /**
- * The member that is to drive a partition under the latest assignment known here.
+ * Returns the member that drives a partition under the latest known assignment.
  * @param state - The process's state.
  * @param partition - The partition.
  */
 export function getCurrentHolder(state: EntryState, partition: PartitionId): Member | undefined {
   const { assignment } = state.fleet;
-  const id = getHolderIn(state, assignment, partition);
+  const id = getHolderInEpoch(state, assignment, partition);
   return assignment.members.find((member) => member.id === id);
 }
 
-/** Forgets the holders of epochs that no longer matter. */
-export function dropOldHolders(state: EntryState): void {
-  const { assignment, holders } = state.fleet;
+/** Drops the cached holders of epochs that are neither current nor unsettled. */
+export function removeOldHolders(state: EntryState): void {
+  const { assignment, holdersByEpoch } = state.fleet;
   const known = new Set([assignment.epoch, ...assignment.earlier.map(({ epoch }) => epoch)]);
-  for (const epoch of holders.keys()) if (!known.has(epoch)) holders.delete(epoch);
+  for (const epoch of holdersByEpoch.keys()) if (!known.has(epoch)) holdersByEpoch.delete(epoch);
 }
--- a/src/core/fleet/index.ts
+++ b/src/core/fleet/index.ts
@@ -3,4 +3,4 @@
 export type { FleetState, Peer } from './FleetState.js';
 export { getCurrentHolder, getHolder, getPartition } from './holders.js';
 export { sendTo } from './peers.js';
-export { getLeaseEnd, isClosing, isFresh, mayDrive } from './queries.js';
+export { getLeaseEnd, isClosing, isConfigurationFresh, canDrive } from './queries.js';
--- a/src/core/fleet/lease.ts
+++ b/src/core/fleet/lease.ts
@@ -9,30 +9,30 @@
 import { isClosing } from './queries.js';
 import { readAssignment } from './writeAssignment.js';
 
-/** Start of the nonce of a write that creates the lease object. */
-const CREATE = 'create';
-const RENEW = 'renew';
+/** Prefix of the nonce of a write that creates the lease object. */
+const CREATE_PREFIX = 'create';
+const RENEW_PREFIX = 'renew';
 
-/** Writes whose outcome may still show. */
-const REMEMBERED_WRITES = 6;
+/** Most recent writes whose send times are kept, since their results may still become known. */
+const MAX_RECENT_WRITES = 6;
 
-/** The job runs in steps; a renewal may come early by this much rather than a step late. */
-const EARLY_MS = 60;
+/** A renewal may be this early, since the periodic job would otherwise be up to a period late. */
+const EARLY_RENEWAL_MS = 60;
 
-/** Time over which processes that start together spread their first write of the assignment. */
-const JOIN_SPREAD_MS = 250;
+/** Jitter of the first assignment write, for processes that start at the same time. */
+const JOIN_JITTER_MS = 250;
 
 function getDuration(state: EntryState): number {
   return getLeaseDuration(state.settings, state.fleet.assignment.members.length);
 }
 
-/** Reckons until when this process may act. */
+/** Updates the time until which this process may act. */
 export function updateLeaseEnd(state: EntryState): void {
   const { lease } = state.fleet;
-  state.fleet.leaseEnd = Math.max(lease.storeEnd, lease.confirmedEnd);
+  state.fleet.leaseEnd = Math.max(lease.storeExpiry, lease.majorityExpiry);
 }
 
-function makeRecord(state: EntryState, nonce: string): LeaseRecord {
+function makeLeaseRecord(state: EntryState, nonce: string): LeaseRecord {
   const { fleet, settings } = state;
   return {
     member: settings.self,
@@ -48,14 +48,14 @@
 function writeLease(state: EntryState, context: Context): Effect[] {
   const { lease } = state.fleet;
   const { id } = state.settings.self;
-  const nonce = `${lease.version === 0 ? CREATE : RENEW}:${lease.nextNonce}`;
+  const nonce = `${lease.version === 0 ? CREATE_PREFIX : RENEW_PREFIX}:${lease.nextNonce}`;
   lease.nextNonce += 1;
   lease.isPending = true;
   lease.lastWriteAt = context.now;
   const op = {
     op: 'put',
     key: getLeaseKey(id),
-    value: makeRecord(state, nonce),
+    value: makeLeaseRecord(state, nonce),
     expect: lease.version,
   } as const;
   const call = { storeClass: 'lease', purpose: 'leaseWrite', tag: nonce, op } as const;
@@ -70,25 +70,25 @@
 }
 
 /**
- * Creates the lease, or renews it when it is time.
+ * Creates the lease, activates it, or renews it when a renewal is due.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function keepLease(state: EntryState, context: Context): Effect[] {
+export function maintainLease(state: EntryState, context: Context): Effect[] {
   const { assignment, hasExited, lease } = state.fleet;
   if (hasExited || lease.isPending) return [];
   if (lease.version === 0 && isClosing(state, context.now)) return [];
-  if (lease.version > 0 && !lease.isCurrent) {
+  if (lease.version > 0 && !lease.isActive) {
     lease.isPending = true;
     return readAssignment(state, 'lease', context);
   }
   const period = getRenewPeriod(state.settings, assignment.members.length);
-  const isDue = context.now - lease.lastWriteAt >= period - EARLY_MS;
+  const isDue = context.now - lease.lastWriteAt >= period - EARLY_RENEWAL_MS;
   return lease.version === 0 || isDue ? writeLease(state, context) : [];
 }
 
-/** Counts a write that took effect: the lease runs from the time the write was sent. */
-function noteWrite(
+/** Records a write that took effect: the lease starts when the write was sent. */
+function recordWrite(
   state: EntryState,
   nonce: string,
   version: number,
@@ -97,16 +97,16 @@
 ): Effect[] {
   const { lease } = state.fleet;
   lease.version = version;
-  if (nonce.startsWith(CREATE)) {
-    lease.isCurrent = false;
-    return keepLease(state, context);
+  if (nonce.startsWith(CREATE_PREFIX)) {
+    lease.isActive = false;
+    return maintainLease(state, context);
   }
-  if (lease.isCurrent) lease.storeEnd = Math.max(lease.storeEnd, sentAt + getDuration(state));
+  if (lease.isActive) lease.storeExpiry = Math.max(lease.storeExpiry, sentAt + getDuration(state));
   updateLeaseEnd(state);
   return [];
 }
 
-/** Follows up a write of the own lease. */
+/** Handles the result of a write of the own lease. */
 export function handleLeaseWritten(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -117,14 +117,14 @@
   lease.isPending = false;
   lease.writes.set(tag, sentAt);
   const [oldest] = lease.writes.keys();
-  if (lease.writes.size > REMEMBERED_WRITES && oldest !== undefined) lease.writes.delete(oldest);
-  if (result.kind === 'written') return noteWrite(state, tag, result.version, sentAt, context);
-  const isLost = state.guards.readBackAfterUnknown(result);
-  if (isLost || result.kind === 'conflict') return readOwnLease(state, context);
+  if (lease.writes.size > MAX_RECENT_WRITES && oldest !== undefined) lease.writes.delete(oldest);
+  if (result.kind === 'written') return recordWrite(state, tag, result.version, sentAt, context);
+  const isOutcomeUnknown = state.guards.readBackAfterUnknown(result);
+  if (isOutcomeUnknown || result.kind === 'conflict') return readOwnLease(state, context);
   return [];
 }
 
-/** Finds out by its nonce whether a write of the lease took effect, or that the lease is gone. */
+/** Finds out by the nonce which write of the lease took effect, or that the lease is gone. */
 export function handleLeaseRead(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -135,27 +135,27 @@
   lease.isPending = false;
   if (result.kind === 'missing') {
     lease.version = 0;
-    lease.isCurrent = false;
-    return keepLease(state, context);
+    lease.isActive = false;
+    return maintainLease(state, context);
   }
   if (result.kind !== 'found') return [];
   const { nonce } = result.entry.value as LeaseRecord;
   const sentAt = lease.writes.get(nonce);
   const isNew = result.entry.version !== lease.version;
   if (!isNew) return [];
-  if (sentAt !== undefined) return noteWrite(state, nonce, result.entry.version, sentAt, context);
+  if (sentAt !== undefined) return recordWrite(state, nonce, result.entry.version, sentAt, context);
   lease.version = result.entry.version;
-  lease.isCurrent = false;
+  lease.isActive = false;
   return [];
 }
 
 /**
- * Lets the lease count once the assignment has been read after its creation.
+ * Activates the lease once the assignment has been read after its creation.
  * @param state - The process's state.
- * @param event - The reading.
- * @param context - Time and chance.
+ * @param event - The result of that read.
+ * @param context - Current time and random source.
  */
-export function handleLeaseCurrent(
+export function activateLease(
   state: EntryState,
   event: EventOf<'storeResolved'>,
   context: Context,
@@ -164,9 +164,9 @@
   const { kind } = event.result;
   lease.isPending = false;
   if (kind !== 'found' && kind !== 'missing') return [];
-  lease.isCurrent = true;
-  lease.storeEnd = Math.max(lease.storeEnd, lease.lastWriteAt + getDuration(state));
+  lease.isActive = true;
+  lease.storeExpiry = Math.max(lease.storeExpiry, lease.lastWriteAt + getDuration(state));
   updateLeaseEnd(state);
-  write.notBefore = Math.max(write.notBefore, context.now + context.random() * JOIN_SPREAD_MS);
+  write.notBefore = Math.max(write.notBefore, context.now + context.random() * JOIN_JITTER_MS);
   return [];
 }
--- a/src/core/fleet/membership.ts
+++ b/src/core/fleet/membership.ts
@@ -7,31 +7,31 @@
 import { isMember, sendTo } from './peers.js';
 import { changeAssignment } from './writeAssignment.js';
 
-/** Between two looks at who else wants to join, in milliseconds. */
-const LIST_AGAIN_MS = 1_000;
+/** Minimum time between two lists of the processes that wait to join, in milliseconds. */
+const LIST_INTERVAL_MS = 1_000;
 
-/** A writer that has not settled its epoch by then may be gone. */
-const UNSETTLED_MS = 4_000;
-const UNSETTLED_STAGGER_MS = 1_000;
+/** If an epoch isn't settled this long after it was applied, its writer may have failed. */
+const COORDINATOR_TIMEOUT_MS = 4_000;
+const COORDINATOR_STAGGER_MS = 1_000;
 
-/** VMs of the platform's list that are asked at a time while no entry VM is known. */
+/** VMs from the platform's list that get a `hello` per round while no entry VM is known. */
 const HELLOS_PER_ROUND = 3;
 
 /**
- * Joins the fleet. All processes that have a lease and are no members yet are let in by one write:
- * a fleet that starts at once would else write an epoch for each.
+ * Joins the fleet. One write adds all processes that hold a lease and are not members yet. Without
+ * that, a fleet whose processes start together would write one epoch for each of them.
  */
-function join(state: EntryState, context: Context): Effect[] {
+function joinFleet(state: EntryState, context: Context): Effect[] {
   const { lease, stopping, write } = state.fleet;
-  if (stopping || !lease.isCurrent || context.now < write.notBefore) return [];
-  if (context.now - write.listedAt < LIST_AGAIN_MS) return changeAssignment(state, context);
+  if (stopping || !lease.isActive || context.now < write.notBefore) return [];
+  if (context.now - write.listedAt < LIST_INTERVAL_MS) return changeAssignment(state, context);
   write.listedAt = context.now;
   const op = { op: 'list', prefix: 'fleet/members/' } as const;
   const call = { storeClass: 'lease', purpose: 'memberList', tag: '', op } as const;
   return enqueueStoreCall(state, call, context);
 }
 
-/** Notes who waits to be let in, and writes them in. */
+/** Records the processes that wait to join, and adds them to the assignment. */
 export function handleMemberList(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -49,23 +49,24 @@
 }
 
 /**
- * Takes over from a writer that is gone: somebody has to ask all members whether they act under the
- * epoch, else it never counts as settled and in the end nobody can be let in.
+ * Takes over the coordination of an epoch whose writer may have failed. Some member has to find out
+ * whether all members act under the epoch. Otherwise earlier epochs never become settled, and once
+ * there are too many of them no process can join.
  */
-function settleForWriter(state: EntryState, now: number): void {
+function takeOverCoordination(state: EntryState, now: number): void {
   const { assignment, departed, write } = state.fleet;
-  if (assignment.earlier.length === 0 || write.coordinates === assignment.epoch) return;
+  if (assignment.earlier.length === 0 || write.managedEpoch === assignment.epoch) return;
   const ids = assignment.members.map(({ id }) => id).filter((id) => !departed.has(id));
   const rank = ids.sort().indexOf(state.settings.self.id);
-  const patience = UNSETTLED_MS + rank * UNSETTLED_STAGGER_MS;
-  if (rank >= 0 && now - write.appliedAt >= patience) write.coordinates = assignment.epoch;
+  const timeoutMs = COORDINATOR_TIMEOUT_MS + rank * COORDINATOR_STAGGER_MS;
+  if (rank >= 0 && now - write.appliedAt >= timeoutMs) write.managedEpoch = assignment.epoch;
 }
 
 /**
- * Looks for entry VMs when the store can't name any: those VMs of the platform's list that are no
- * targets, at the port that this process listens at itself.
+ * Sends a `hello` to possible entry VMs, for when the store can't name any: VMs of the platform's
+ * list that are not targets, at the port that this process itself listens on for peers.
  */
-function lookForPeers(state: EntryState, context: Context): Effect[] {
+function sendDiscoveryHellos(state: EntryState, context: Context): Effect[] {
   const { self } = state.settings;
   const port = self.peerAddress.slice(self.peerAddress.lastIndexOf(':') + 1);
   const candidates = state.configuration.vms.filter(
@@ -83,23 +84,23 @@
 }
 
 /**
- * Brings about the membership that this process wants and thinks right.
+ * Joins the fleet if necessary, and writes any change to the membership that is needed.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
-export function keepMembership(state: EntryState, context: Context): Effect[] {
+export function maintainMembership(state: EntryState, context: Context): Effect[] {
   const { assignment, hasExited } = state.fleet;
   if (hasExited) return [];
-  settleForWriter(state, context.now);
+  takeOverCoordination(state, context.now);
   if (!isMember(state, state.settings.self.id) || assignment.epoch === 0) {
-    return join(state, context);
+    return joinFleet(state, context);
   }
   return changeAssignment(state, context);
 }
 
-/** Looks for peers while none is known; runs once a second. */
-export function keepLooking(state: EntryState, context: Context): Effect[] {
+/** Looks for peers while there is no assignment and no known peer; runs once a second. */
+export function discoverPeers(state: EntryState, context: Context): Effect[] {
   const { assignment, hasExited, peers } = state.fleet;
   if (hasExited || assignment.epoch > 0 || peers.size > 0) return [];
-  return lookForPeers(state, context);
+  return sendDiscoveryHellos(state, context);
 }
--- a/src/core/fleet/queries.ts
+++ b/src/core/fleet/queries.ts
@@ -3,7 +3,7 @@
 import { STOP_GRACE_MS } from './periods.js';
 
 /**
- * When this process must have stopped sending, unless its lease is renewed; monotonic milliseconds.
+ * Time at which this process must stop sending unless its lease is renewed; monotonic milliseconds.
  * @param state - The process's state.
  */
 export function getLeaseEnd(state: EntryState): number {
@@ -16,28 +16,28 @@
  * @param partition - The partition.
  * @param now - Monotonic milliseconds, read just before sending.
  */
-export function mayDrive(state: EntryState, partition: PartitionId, now: number): boolean {
+export function canDrive(state: EntryState, partition: PartitionId, now: number): boolean {
   const { granted, leaseEnd } = state.fleet;
   return state.guards.leaseCheckBeforeSend(now, leaseEnd) && granted.has(partition);
 }
 
 /**
- * Whether this process has lately heard that its configuration is the latest.
+ * Whether the current configuration was recently confirmed to be the latest.
  * @param state - The process's state.
  * @param now - Monotonic milliseconds.
  */
-export function isFresh(state: EntryState, now: number): boolean {
+export function isConfigurationFresh(state: EntryState, now: number): boolean {
   const { confirmedAt } = state.configuration;
   return state.guards.freshBeforeWork(now, confirmedAt, state.settings.freshnessMs);
 }
 
 /**
- * Whether a planned stop has gone so far that nobody should come any more: the answers that name
- * this process have run out. It takes no new request from then on.
+ * Whether a planned stop has reached its last phase: the address answers that name this process
+ * have expired, and it takes no new requests.
  * @param state - The process's state.
  * @param now - Monotonic milliseconds.
  */
 export function isClosing(state: EntryState, now: number): boolean {
-  const { stopping, stopAskedAt } = state.fleet;
-  return stopping && now >= stopAskedAt + state.settings.addressTtlMs + STOP_GRACE_MS;
+  const { stopping, stopRequestedAt } = state.fleet;
+  return stopping && now >= stopRequestedAt + state.settings.addressTtlMs + STOP_GRACE_MS;
 }
--- a/src/core/fleet/stop.ts
+++ b/src/core/fleet/stop.ts
@@ -4,24 +4,28 @@
 import { enqueueStoreCall } from '../storeCalls/index.js';
 import { getLeaseKey } from './fence.js';
 import { sendHeartbeats } from './heartbeats.js';
-import { STOP_STORE_MS } from './periods.js';
+import { STOP_STORE_TIMEOUT_MS } from './periods.js';
 import { isClosing } from './queries.js';
 import { changeAssignment } from './writeAssignment.js';
 
-/** Begins a planned stop: peers stop naming this process, and it leaves the assignment. */
-export function handleStopAsked(state: EntryState, _event: unknown, context: Context): Effect[] {
+/** Begins a planned stop: peers stop giving out its address, and it leaves the assignment. */
+export function handleStopRequested(
+  state: EntryState,
+  _event: unknown,
+  context: Context,
+): Effect[] {
   const { fleet } = state;
   if (fleet.stopping) return [];
   fleet.stopping = true;
-  fleet.stopAskedAt = context.now;
+  fleet.stopRequestedAt = context.now;
   return [
-    { kind: 'log', level: 'info', part: 'fleet', text: 'a planned stop begins' },
+    { kind: 'log', level: 'info', part: 'fleet', text: 'planned stop started' },
     ...sendHeartbeats(state, context),
     ...changeAssignment(state, context),
   ];
 }
 
-function hasWork(state: EntryState): boolean {
+function hasOpenWork(state: EntryState): boolean {
   return state.requests.requests.size > 0 || state.requests.attempts.size > 0;
 }
 
@@ -32,7 +36,7 @@
       kind: 'log',
       level: 'info',
       part: 'fleet',
-      text: 'all requests have ended; the process exits',
+      text: 'all requests have ended, exiting',
     },
     { kind: 'exit' },
   ];
@@ -51,26 +55,26 @@
 }
 
 /**
- * Goes on with a planned stop. The process serves until the answers that name it have run out,
- * then ends what it has, gives its lease back and exits. Where the store doesn't answer it exits
- * all the same: a refused connection tells the others that it has ended.
+ * Continues a planned stop. The process serves until the address answers that name it have expired.
+ * Then it completes its open requests, deletes its lease and exits. It exits even if the store
+ * doesn't respond: a refused connection shows the others that it has ended.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function continueStop(state: EntryState, context: Context): Effect[] {
   const { fleet } = state;
   if (fleet.hasExited || !isClosing(state, context.now)) return [];
-  if (hasWork(state)) {
+  if (hasOpenWork(state)) {
     fleet.idleSince = undefined;
     return [];
   }
   fleet.idleSince ??= context.now;
-  const isPatient = context.now - fleet.idleSince < STOP_STORE_MS;
-  if (fleet.lease.version === 0 || !isPatient) return exit(state);
+  const canWaitForStore = context.now - fleet.idleSince < STOP_STORE_TIMEOUT_MS;
+  if (fleet.lease.version === 0 || !canWaitForStore) return exit(state);
   return fleet.lease.isPending ? [] : deleteOwnLease(state, context);
 }
 
-/** Exits once the own lease is given back, unless a request came meanwhile. */
+/** Exits once the own lease is deleted, unless a request arrived in the meantime. */
 export function handleOwnLeaseDeleted(
   state: EntryState,
   isDone: boolean,
--- a/src/core/fleet/writeAssignment.ts
+++ b/src/core/fleet/writeAssignment.ts
@@ -6,18 +6,18 @@
 import { enqueueStoreCall } from '../storeCalls/index.js';
 import { applyAssignment } from './applyAssignment.js';
 import { isSettled } from './grants.js';
-import { MAX_EARLIER_FOR_JOIN } from './periods.js';
-import { tellEveryone } from './tell.js';
+import { MAX_UNSETTLED_EPOCHS_FOR_JOIN } from './periods.js';
+import { broadcastAssignment } from './assignmentMessages.js';
 
-/** Key of the assignment in the store. */
+/** Store key of the assignment. */
 export const ASSIGNMENT_KEY = 'fleet/assignment';
 
-/** Time within which the first retry after a lost race comes, in milliseconds. */
-const RETRY_MS = 40;
+/** Base of the exponential backoff after a failed write, in milliseconds. */
+const RETRY_BASE_MS = 40;
 const MAX_RETRY_MS = 1_000;
 
-/** Whether this process is to be left out: it stops, and others are there to take over. */
-function isLeavingNow(state: EntryState): boolean {
+/** Whether to remove this process: it is stopping, and other members can take over. */
+function shouldLeave(state: EntryState): boolean {
   const { assignment, departed, stopping } = state.fleet;
   const self = state.settings.self.id;
   if (!stopping) return false;
@@ -25,11 +25,11 @@
 }
 
 /**
- * Whether a process that holds a lease is to be let in. One that has told of its planned stop keeps
- * its lease until it exits: let in again, it would get back the targets that it has just handed
- * over, and they would stand idle until it is gone.
+ * Whether a process that holds a lease may become a member. A process keeps its lease during a
+ * planned stop until it exits. If it were added again, it would get back the targets that it has
+ * just handed over, and they would be idle until it is gone.
  */
-function mayJoin(state: EntryState, id: EntryVmId): boolean {
+function canJoin(state: EntryState, id: EntryVmId): boolean {
   const { ended, peers, stopping } = state.fleet;
   if (id === state.settings.self.id) return !stopping;
   return !ended.has(id) && peers.get(id)?.leaving !== true;
@@ -38,15 +38,15 @@
 function getDesiredMembers(state: EntryState): Member[] {
   const { assignment, departed, lease, stopping, write } = state.fleet;
   const { self } = state.settings;
-  const isStaying = !isLeavingNow(state);
+  const isStaying = !shouldLeave(state);
   const members = assignment.epoch === 0 ? [] : assignment.members;
   const kept = members.filter(({ id }) => !departed.has(id) && (id !== self.id || isStaying));
-  if (assignment.earlier.length >= MAX_EARLIER_FOR_JOIN) return kept;
-  const candidates = lease.isCurrent && !stopping ? [self, ...write.joiners] : write.joiners;
+  if (assignment.earlier.length >= MAX_UNSETTLED_EPOCHS_FOR_JOIN) return kept;
+  const candidates = lease.isActive && !stopping ? [self, ...write.joiners] : write.joiners;
   const added = new Map<string, Member>();
   for (const member of candidates) {
     const isKnown = members.some(({ id }) => id === member.id);
-    if (!isKnown && mayJoin(state, member.id)) added.set(member.id, member);
+    if (!isKnown && canJoin(state, member.id)) added.set(member.id, member);
   }
   return [...kept, ...added.values()];
 }
@@ -57,7 +57,7 @@
   return b.every(({ id }) => ids.has(id));
 }
 
-/** The assignment as it should be; undefined if the one in force will do. */
+/** Returns the assignment that this process would write; undefined if no change is needed. */
 function getProposal(state: EntryState, context: Context): Assignment | undefined {
   const { assignment, write } = state.fleet;
   const nonce = `${state.settings.self.id}:${Math.floor(context.random() * 2 ** 48).toString(36)}`;
@@ -66,19 +66,19 @@
   if (members.length === 0) return undefined;
   if (!hasSameMembers(members, assignment.members) || assignment.epoch === 0) {
     const { epoch } = assignment;
-    const last = epoch === 0 ? [] : [{ epoch, members: assignment.members }];
-    return { epoch: epoch + 1, members, earlier: [...earlier, ...last], nonce };
+    const previous = epoch === 0 ? [] : [{ epoch, members: assignment.members }];
+    return { epoch: epoch + 1, members, earlier: [...earlier, ...previous], nonce };
   }
   const isPruned = earlier.length < assignment.earlier.length;
-  if (!isPruned || write.coordinates !== assignment.epoch || earlier.length > 0) return undefined;
+  if (!isPruned || write.managedEpoch !== assignment.epoch || earlier.length > 0) return undefined;
   return { ...assignment, earlier, nonce };
 }
 
 /**
  * Reads the assignment from the store.
  * @param state - The process's state.
- * @param tag - What the reading is for.
- * @param context - Time and chance.
+ * @param tag - Purpose of the read.
+ * @param context - Current time and random source.
  */
 export function readAssignment(
   state: EntryState,
@@ -91,10 +91,10 @@
 }
 
 /**
- * Brings the assignment in the store to what this process thinks right, by conditional update. Any
- * process may do so; whoever loses a race reads what the other wrote and looks again.
+ * Writes the assignment that this process considers correct, if it differs, by a conditional
+ * update. Any process may do so. One that loses a race reads the other's write and tries again.
  * @param state - The process's state.
- * @param context - Time and chance.
+ * @param context - Current time and random source.
  */
 export function changeAssignment(state: EntryState, context: Context): Effect[] {
   const { write } = state.fleet;
@@ -112,8 +112,8 @@
 function backOff(state: EntryState, context: Context): void {
   const { write } = state.fleet;
   write.failures += 1;
-  const pause = Math.min(MAX_RETRY_MS, RETRY_MS * 2 ** Math.min(write.failures, 6));
-  write.notBefore = context.now + pause * context.random();
+  const delayMs = Math.min(MAX_RETRY_MS, RETRY_BASE_MS * 2 ** Math.min(write.failures, 6));
+  write.notBefore = context.now + delayMs * context.random();
 }
 
 function acceptProposal(
@@ -127,11 +127,11 @@
   write.failures = 0;
   write.joiners = [];
   const effects = applyAssignment(state, proposed, version, context);
-  if (isNewEpoch) write.coordinates = proposed.epoch;
-  return [...effects, ...tellEveryone(state, context.now)];
+  if (isNewEpoch) write.managedEpoch = proposed.epoch;
+  return [...effects, ...broadcastAssignment(state, context.now)];
 }
 
-/** Follows up a conditional write of the assignment. */
+/** Handles the result of a conditional write of the assignment. */
 export function handleAssignmentWritten(
   state: EntryState,
   event: EventOf<'storeResolved'>,
@@ -151,7 +151,7 @@
   return [];
 }
 
-/** Applies what was read, and finds out whether a write whose answer was lost took effect. */
+/** Applies the assignment that was read; detects an own write whose answer was lost. */
 export function handleAssignmentRead(
   state: EntryState,
   event: EventOf<'storeResolved'>,
--- a/src/core/index.ts
+++ b/src/core/index.ts
@@ -6,7 +6,7 @@
 export type { EntryState } from './EntryState.js';
 export { JOB_PERIODS_MS } from './events.js';
 export type * from './events.js';
-export { isFresh, mayDrive } from './fleet/index.js';
+export { isConfigurationFresh, canDrive } from './fleet/index.js';
 export { DEFAULT_GUARDS } from './guards.js';
 export type { Guards } from './guards.js';
 export { hashText } from './hash.js';
--- a/src/core/requests/arrival.ts
+++ b/src/core/requests/arrival.ts
@@ -2,7 +2,7 @@
 import type { Context } from '../Context.js';
 import type { Effect, ProblemCode } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
-import { isClosing, isFresh } from '../fleet/index.js';
+import { isClosing, isConfigurationFresh } from '../fleet/index.js';
 import type { EventOf } from '../Handler.js';
 import { claimKey } from '../keys/index.js';
 import type { ServiceConfig } from '../model/index.js';
@@ -68,7 +68,7 @@
 ): ProblemCode | undefined {
   // The address answers that name this process have expired; its exit could cut off a new request.
   if (isClosing(state, now)) return 'leaving';
-  if (!isFresh(state, now)) return 'not-fresh';
+  if (!isConfigurationFresh(state, now)) return 'not-fresh';
   if (now >= record.deadlineAt) return 'deadline-passed';
   return hasUsedShare(state, record.service, traffic) ? 'no-capacity' : undefined;
 }
--- a/src/core/targets/canSendTo.ts
+++ b/src/core/targets/canSendTo.ts
@@ -1,5 +1,5 @@
 import type { EntryState } from '../EntryState.js';
-import { mayDrive } from '../fleet/index.js';
+import { canDrive } from '../fleet/index.js';
 import type { TargetId } from '../model/index.js';
 
 /**
@@ -10,5 +10,5 @@
  */
 export function canSendTo(state: EntryState, target: TargetId, now: number): boolean {
   const record = state.targets.records.get(target);
-  return record !== undefined && mayDrive(state, record.partition, now);
+  return record !== undefined && canDrive(state, record.partition, now);
 }
--- a/src/core/targets/chooseTarget.ts
+++ b/src/core/targets/chooseTarget.ts
@@ -1,6 +1,6 @@
 import { isZoneOut } from '../configuration/index.js';
 import type { EntryState } from '../EntryState.js';
-import { isFresh } from '../fleet/index.js';
+import { isConfigurationFresh } from '../fleet/index.js';
 import type { ServiceName, TargetId } from '../model/index.js';
 import { getFreeSlots } from './getFreeSlots.js';
 import type { LocalTarget } from './TargetsState.js';
@@ -26,7 +26,7 @@
   now: number,
   tried?: readonly TargetId[],
 ): LocalTarget | undefined {
-  if (!isFresh(state, now)) return undefined;
+  if (!isConfigurationFresh(state, now)) return undefined;
   let best: LocalTarget | undefined;
   let bestFree = 0;
   let fallback: LocalTarget | undefined;
--- a/src/core/targets/getFreeSlots.ts
+++ b/src/core/targets/getFreeSlots.ts
@@ -1,5 +1,5 @@
 import type { EntryState } from '../EntryState.js';
-import { mayDrive } from '../fleet/index.js';
+import { canDrive } from '../fleet/index.js';
 import type { LocalTarget } from './TargetsState.js';
 
 /**
@@ -12,7 +12,7 @@
 export function isUnavailable(state: EntryState, record: LocalTarget, now: number): boolean {
   if (record.hold !== undefined || record.slow) return true;
   if (now < record.avoidUntil || record.alone !== undefined) return true;
-  return !mayDrive(state, record.partition, now);
+  return !canDrive(state, record.partition, now);
 }
 
 /** Whether one more request would open more connections than the target may have now. */
--- a/src/core/targets/probes.ts
+++ b/src/core/targets/probes.ts
@@ -2,7 +2,7 @@
 import type { Context } from '../Context.js';
 import type { Effect } from '../effects.js';
 import type { EntryState } from '../EntryState.js';
-import { isFresh, mayDrive } from '../fleet/index.js';
+import { isConfigurationFresh, canDrive } from '../fleet/index.js';
 import type { EventOf } from '../Handler.js';
 import { turnCold } from './coldStart.js';
 import { clearFailures, recordFailure } from './failures.js';
@@ -33,7 +33,7 @@
   if (now < record.inheritedUntil && record.inherited > 0) return false;
   if (now - record.usedAt < record.service.probe.idleMs) return false;
   if (isZoneOut(state, record.config.zone)) return false;
-  return mayDrive(state, record.partition, now);
+  return canDrive(state, record.partition, now);
 }
 
 function startProbe(state: EntryState, record: LocalTarget, now: number): Effect[] {
@@ -59,7 +59,7 @@
  */
 export function probeIdleTargets(state: EntryState, context: Context): Effect[] {
   const { now } = context;
-  if (!isFresh(state, now)) return [];
+  if (!isConfigurationFresh(state, now)) return [];
   const effects: Effect[] = [];
   for (const record of state.targets.records.values()) {
     refillProbeBudget(record, now);
--- a/src/core/targets/reserveTarget.ts
+++ b/src/core/targets/reserveTarget.ts
@@ -1,6 +1,6 @@
 import { isZoneOut } from '../configuration/index.js';
 import type { EntryState } from '../EntryState.js';
-import { isFresh } from '../fleet/index.js';
+import { isConfigurationFresh } from '../fleet/index.js';
 import type { RequestId, ServiceName } from '../model/index.js';
 import { isUnavailable } from './getFreeSlots.js';
 import type { LocalTarget } from './TargetsState.js';
@@ -27,7 +27,7 @@
   request: RequestId,
   now: number,
 ): LocalTarget | undefined {
-  if (!isFresh(state, now)) return undefined;
+  if (!isConfigurationFresh(state, now)) return undefined;
   const records = state.targets.byService.get(service) ?? [];
   let record = findReserved(records, request);
   if (record === undefined) {
--- a/src/entry/api/HealthController.ts
+++ b/src/entry/api/HealthController.ts
@@ -1,7 +1,7 @@
 import { Controller, Get, Inject, Res } from '@nestjs/common';
 import type { FastifyReply } from 'fastify';
 
-import { isFresh } from '../../core/index.js';
+import { isConfigurationFresh } from '../../core/index.js';
 import type { ApiParts } from './ApiParts.js';
 import { API_PARTS } from './ApiParts.js';
 
@@ -28,7 +28,7 @@
     if (fleet.stopping) return this.refuse(reply, 'stopping');
     if (configuration.current.generation === 0) return this.refuse(reply, 'no configuration yet');
     if (fleet.assignment.epoch === 0) return this.refuse(reply, 'not yet a member of the fleet');
-    if (!isFresh(this.parts.state, this.parts.clock.now())) {
+    if (!isConfigurationFresh(this.parts.state, this.parts.clock.now())) {
       return this.refuse(reply, 'no recent word that the configuration is the latest');
     }
     return { status: 'ready' };
--- a/src/entry/api/adminViews.ts
+++ b/src/entry/api/adminViews.ts
@@ -59,7 +59,7 @@
     peers: [...fleet.peers.values()].map((peer) => ({
       id: peer.member.id,
       zone: peer.member.zone,
-      heardMsAgo: Math.round(now - peer.heardAt),
+      heardMsAgo: Math.round(now - peer.lastHeardAt),
       appliedEpoch: peer.appliedEpoch,
       generation: peer.generation,
       leaving: peer.leaving,
--- a/src/tests/core/LocalFleet.ts
+++ b/src/tests/core/LocalFleet.ts
@@ -8,28 +8,29 @@
   PeriodicJob,
 } from '../../core/index.js';
 import { createEntryState, DEFAULT_GUARDS, JOB_PERIODS_MS, reduce } from '../../core/index.js';
-import { mayDrive } from '../../core/fleet/index.js';
+import { canDrive } from '../../core/fleet/index.js';
 import { VirtualClock } from '../../proof/VirtualClock.js';
 import { createRandom, StoreModel } from '../../standIns/models/index.js';
 import { makeCoreSettings } from './fixtures.js';
 
-const HOP_MS = 1;
+const HOP_DELAY_MS = 1;
 const STORE_TIMEOUT_MS = 500;
 
 /** One entry process on the virtual clock. */
 export interface Process {
   readonly id: string;
   readonly state: EntryState;
-  /** This process's clock runs at this rate. */
-  readonly rate: number;
-  /** `dead`: its VM answers nothing; `ended`: its VM refuses connections. */
+  /** Rate of this process's clock relative to the virtual clock. */
+  readonly clockRate: number;
+  /** `dead`: its VM does not respond; `ended`: its VM refuses connections. */
   condition: 'running' | 'paused' | 'dead' | 'ended';
-  /** What came in during a pause. */
-  readonly held: (() => void)[];
-  readonly others: Effect[];
+  /** Events that arrived during a pause. */
+  readonly deferredDeliveries: (() => void)[];
+  /** Effects that are neither store calls nor messages. */
+  readonly otherEffects: Effect[];
 }
 
-/** How a fleet is set up. */
+/** Options of a fleet. */
 export interface LocalFleetOptions {
   readonly size: number;
   readonly seed?: number;
@@ -38,7 +39,7 @@
   readonly settings?: Partial<CoreSettings>;
 }
 
-/** Some cores, a store and a network in one virtual time: no cluster, just events handed round. */
+/** Runs several cores on one virtual clock, with a store model and a simulated network. */
 export class LocalFleet {
   readonly clock = new VirtualClock();
 
@@ -46,42 +47,43 @@
 
   readonly processes: Process[] = [];
 
-  /** Whether a message gets through; a test replaces it to cut links. */
+  /** Whether a message is delivered; tests replace it to cut links. */
   isLinked: (from: Process, to: Process) => boolean = () => true;
 
-  /** Whether a process reaches the store. */
-  reachesStore: (process: Process) => boolean = () => true;
+  /** Whether a process can reach the store; tests replace it to cut connections. */
+  canReachStore: (process: Process) => boolean = () => true;
 
   /** Share of messages that are lost. */
   lossRate = 0;
 
-  /** Messages sent, and bytes if counted by a test. */
+  /** Called for each message that is sent. */
   onMessage?: (from: Process, message: PeerMessage) => void;
 
-  /** Hears each effect that is neither a store call nor a message. */
+  /** Called for each effect that is neither a store call nor a message. */
   onEffect?: (process: Process, effect: Effect) => void;
 
-  /** When processes called the store. */
-  readonly writeTimes: number[] = [];
+  /** Times of write calls to the store, on the virtual clock. */
+  readonly storeWriteTimes: number[] = [];
 
-  readonly readTimes: number[] = [];
+  /** Times of all other calls to the store, on the virtual clock. */
+  readonly storeReadTimes: number[] = [];
 
   readonly random: () => number;
 
   /** @internal */
-  private starts = 0;
+  private startCount = 0;
 
-  /** @param options - Size and seed. */
+  /** @param options - Size, seed and settings of the fleet. */
   constructor(private readonly options: LocalFleetOptions) {
     this.random = createRandom(options.seed ?? 1);
     for (let i = 0; i < options.size; i++) this.start(i);
   }
 
-  /** Starts a process on a VM; on a VM whose process ended it is a new run. */
+  /** Starts a process on a VM; a VM whose process ended gets a new one. */
   start(vm: number): Process {
-    this.starts += 1;
+    this.startCount += 1;
     const zones = this.options.zones ?? ['a', 'b', 'c'];
-    const id = `vm${vm}#${this.starts}`;
+    const id = `vm${vm}#${this.startCount}`;
     const settings = makeCoreSettings({
       ...this.options.settings,
       self: {
@@ -91,70 +93,78 @@
         peerAddress: `10.0.0.${vm}:9001`,
       },
     });
-    const rate = 0.99 + 0.02 * this.random();
+    const clockRate = 0.99 + 0.02 * this.random();
     const guards = { ...DEFAULT_GUARDS, ...this.options.guards };
-    const state = createEntryState(settings, this.clock.now() * rate, guards);
-    const process: Process = { id, state, rate, condition: 'running', held: [], others: [] };
+    const state = createEntryState(settings, this.clock.now() * clockRate, guards);
+    const process: Process = {
+      id,
+      state,
+      clockRate,
+      condition: 'running',
+      deferredDeliveries: [],
+      otherEffects: [],
+    };
     this.processes.push(process);
-    for (const job of Object.keys(JOB_PERIODS_MS) as PeriodicJob[]) this.repeat(process, job);
+    for (const job of Object.keys(JOB_PERIODS_MS) as PeriodicJob[]) this.scheduleJob(process, job);
     return process;
   }
 
-  /** The running process of a VM; the latest run. */
-  at(vm: number): Process {
+  /** Returns the process that was started last on a VM. */
+  getProcess(vm: number): Process {
     const process = this.processes.findLast(({ id }) => id.startsWith(`vm${vm}#`));
-    if (process === undefined) throw new Error(`no process runs on VM ${vm}`);
+    if (process === undefined) throw new Error(`no process was started on VM ${vm}`);
     return process;
   }
 
-  /** Time on a process's own clock. */
-  now(process: Process): number {
-    return this.clock.now() * process.rate;
+  /** Returns the time on a process's own clock. */
+  getTime(process: Process): number {
+    return this.clock.now() * process.clockRate;
   }
 
-  /** Gives a process an event, now or when its pause ends. */
+  /** Dispatches an event to a process, or defers it until its pause ends. */
   dispatch(process: Process, event: CoreEvent): void {
     if (process.condition === 'dead' || process.condition === 'ended') return;
     if (process.condition === 'paused') {
-      process.held.push(() => this.dispatch(process, event));
+      process.deferredDeliveries.push(() => this.dispatch(process, event));
       return;
     }
-    const context = { now: this.now(process), random: this.random };
-    for (const effect of reduce(process.state, event, context)) this.run(process, effect);
+    const context = { now: this.getTime(process), random: this.random };
+    for (const effect of reduce(process.state, event, context)) this.runEffect(process, effect);
   }
 
-  /** Lets a paused process go on with all that came in meanwhile. */
+  /** Resumes a paused process and delivers all events that arrived during the pause. */
   resume(process: Process): void {
     if (process.condition !== 'paused') return;
     process.condition = 'running';
-    for (const deliver of process.held.splice(0)) deliver();
+    for (const deliver of process.deferredDeliveries.splice(0)) deliver();
   }
 
-  /** Runs on for some time. */
+  /** Advances the virtual clock. */
   runFor(ms: number, afterEach?: () => void): void {
     this.clock.runUntil(this.clock.now() + ms, afterEach);
   }
 
-  /** Running processes that may drive a partition now. */
+  /** Returns the running processes that may drive a partition now. */
   getDrivers(partition: string): Process[] {
     return this.processes.filter(
       (process) =>
-        process.condition === 'running' && mayDrive(process.state, partition, this.now(process)),
+        process.condition === 'running' &&
+        canDrive(process.state, partition, this.getTime(process)),
     );
   }
 
-  /** All partitions that some process was granted. */
+  /** Returns all partitions that are granted to some process. */
   getPartitions(): Set<string> {
     return new Set(this.processes.flatMap(({ state }) => [...state.fleet.granted]));
   }
 
-  /** Partitions that more than one running process may drive now. */
+  /** Returns the partitions that more than one running process may drive now. */
   getConflicts(): string[] {
     return [...this.getPartitions()].filter((partition) => this.getDrivers(partition).length > 1);
   }
 
   /** @internal */
-  private repeat(process: Process, job: PeriodicJob): void {
+  private scheduleJob(process: Process, job: PeriodicJob): void {
     const tick = (): void => {
       if (process.condition === 'dead' || process.condition === 'ended') return;
       if (process.condition === 'running') this.dispatch(process, { kind: 'jobDue', job });
@@ -164,12 +174,12 @@
   }
 
   /** @internal */
-  private run(process: Process, effect: Effect): void {
+  private runEffect(process: Process, effect: Effect): void {
     if (effect.kind === 'callStore') this.callStore(process, effect);
-    else if (effect.kind === 'sendPeer') this.send(process, effect);
+    else if (effect.kind === 'sendPeer') this.sendMessage(process, effect);
     else {
       if (effect.kind === 'exit') process.condition = 'ended';
-      process.others.push(effect);
+      process.otherEffects.push(effect);
       this.onEffect?.(process, effect);
     }
   }
@@ -177,9 +187,9 @@
   /** @internal */
   private callStore(process: Process, { call, op }: Extract<Effect, { kind: 'callStore' }>): void {
     const isWrite = op.op === 'put' || op.op === 'delete';
-    (isWrite ? this.writeTimes : this.readTimes).push(this.clock.now());
-    if (!this.reachesStore(process)) {
-      this.clock.after(HOP_MS, () =>
+    (isWrite ? this.storeWriteTimes : this.storeReadTimes).push(this.clock.now());
+    if (!this.canReachStore(process)) {
+      this.clock.after(HOP_DELAY_MS, () =>
         this.dispatch(process, { kind: 'storeAnswered', call, result: { kind: 'unavailable' } }),
       );
       return;
@@ -199,7 +209,7 @@
   }
 
   /** @internal */
-  private send(process: Process, effect: Extract<Effect, { kind: 'sendPeer' }>): void {
+  private sendMessage(process: Process, effect: Extract<Effect, { kind: 'sendPeer' }>): void {
     const { message, peer, peerAddress } = effect;
     this.onMessage?.(process, message);
     const to = this.processes.findLast(
@@ -207,14 +217,14 @@
     );
     if (to === undefined || to.condition === 'dead' || !this.isLinked(process, to)) return;
     if (to.condition === 'ended') {
-      this.clock.after(2 * HOP_MS, () =>
+      this.clock.after(2 * HOP_DELAY_MS, () =>
         this.dispatch(process, { kind: 'peerSendFailed', peer, reason: 'refused' }),
       );
       return;
     }
     if (this.random() < this.lossRate) return;
     const copy = JSON.parse(JSON.stringify(message)) as PeerMessage;
-    this.clock.after(HOP_MS * (0.5 + this.random()), () =>
+    this.clock.after(HOP_DELAY_MS * (0.5 + this.random()), () =>
       this.dispatch(to, { kind: 'peerMessageArrived', from: process.id, message: copy }),
     );
   }
--- a/src/tests/core/faultSchedules.ts
+++ b/src/tests/core/faultSchedules.ts
@@ -2,7 +2,7 @@
 
 import type { LocalFleet, Process } from './LocalFleet.js';
 
-/** Things that go wrong, each for a while. */
+/** Kinds of faults. Each fault lasts for a limited time. */
 export const FAULTS = [
   'pause',
   'endProcess',
@@ -28,9 +28,9 @@
 }
 
 /**
- * Draws schedules of faults.
- * @param size - Entry VMs.
- * @param spanMs - Time within which faults begin.
+ * Creates an arbitrary that generates schedules of faults.
+ * @param size - Number of entry VMs.
+ * @param spanMs - Period in which faults begin, in milliseconds.
  */
 export function drawSchedule(size: number, spanMs: number): fc.Arbitrary<Fault[]> {
   const vm = fc.integer({ min: 0, max: size - 1 });
@@ -44,69 +44,69 @@
   return fc.array(fault, { minLength: 1, maxLength: 8 });
 }
 
-type Strike = (fleet: LocalFleet, fault: Fault) => () => void;
+type FaultInjector = (fleet: LocalFleet, fault: Fault) => () => void;
 
-interface Cuts {
+interface CutCounts {
   readonly store: Map<string, number>;
   readonly peers: Map<string, number>;
   readonly links: Map<string, number>;
 }
 
-const CUTS = new WeakMap<LocalFleet, Cuts>();
+const CUTS_BY_FLEET = new WeakMap<LocalFleet, CutCounts>();
 
-function getName({ id }: Process): string {
+function getVmName({ id }: Process): string {
   return id.split('#')[0] ?? id;
 }
 
-function getCuts(fleet: LocalFleet): Cuts {
-  const known = CUTS.get(fleet);
-  if (known !== undefined) return known;
-  const cuts: Cuts = { store: new Map(), peers: new Map(), links: new Map() };
-  CUTS.set(fleet, cuts);
-  const has = (table: Map<string, number>, key: string): boolean => (table.get(key) ?? 0) > 0;
-  fleet.reachesStore = (process) => !has(cuts.store, getName(process));
+function getCuts(fleet: LocalFleet): CutCounts {
+  const existing = CUTS_BY_FLEET.get(fleet);
+  if (existing !== undefined) return existing;
+  const cuts: CutCounts = { store: new Map(), peers: new Map(), links: new Map() };
+  CUTS_BY_FLEET.set(fleet, cuts);
+  const isCut = (table: Map<string, number>, key: string): boolean => (table.get(key) ?? 0) > 0;
+  fleet.canReachStore = (process) => !isCut(cuts.store, getVmName(process));
   fleet.isLinked = (from, to) =>
-    !has(cuts.peers, getName(from)) &&
-    !has(cuts.peers, getName(to)) &&
-    !has(cuts.links, `${getName(from)}-${getName(to)}`) &&
-    !has(cuts.links, `${getName(to)}-${getName(from)}`);
+    !isCut(cuts.peers, getVmName(from)) &&
+    !isCut(cuts.peers, getVmName(to)) &&
+    !isCut(cuts.links, `${getVmName(from)}-${getVmName(to)}`) &&
+    !isCut(cuts.links, `${getVmName(to)}-${getVmName(from)}`);
   return cuts;
 }
 
-function cut(table: Map<string, number>, key: string): () => void {
+function addCut(table: Map<string, number>, key: string): () => void {
   table.set(key, (table.get(key) ?? 0) + 1);
   return () => table.set(key, (table.get(key) ?? 1) - 1);
 }
 
-/** Ends a process in some way and starts another on its VM after the fault's time. */
-function endThenRestart(condition: 'ended' | 'dead'): Strike {
+/** Sets the condition of a process, and starts a new one on its VM when the fault is over. */
+function endThenRestart(condition: 'ended' | 'dead'): FaultInjector {
   return (fleet, fault) => {
-    const process = fleet.at(fault.vm);
+    const process = fleet.getProcess(fault.vm);
     process.condition = condition;
     return () => {
       process.condition = 'ended';
-      if (fleet.at(fault.vm) === process) fleet.start(fault.vm);
+      if (fleet.getProcess(fault.vm) === process) fleet.start(fault.vm);
     };
   };
 }
 
-/** How each fault strikes; the function that it gives mends it. */
-const STRIKES: Readonly<Record<Fault['kind'], Strike>> = {
+/** Injects each kind of fault; the returned function clears the fault. */
+const FAULT_INJECTORS: Readonly<Record<Fault['kind'], FaultInjector>> = {
   pause: (fleet, fault) => {
-    const process = fleet.at(fault.vm);
+    const process = fleet.getProcess(fault.vm);
     if (process.condition === 'running') process.condition = 'paused';
     return () => fleet.resume(process);
   },
   endProcess: endThenRestart('ended'),
   killVm: endThenRestart('dead'),
   plannedStop: (fleet, fault) => {
-    const process = fleet.at(fault.vm);
+    const process = fleet.getProcess(fault.vm);
     fleet.dispatch(process, { kind: 'stopAsked' });
     return () => {};
   },
-  cutFromStore: (fleet, fault) => cut(getCuts(fleet).store, `vm${fault.vm}`),
-  cutFromPeers: (fleet, fault) => cut(getCuts(fleet).peers, `vm${fault.vm}`),
-  cutOneLink: (fleet, fault) => cut(getCuts(fleet).links, `vm${fault.vm}-vm${fault.otherVm}`),
+  cutFromStore: (fleet, fault) => addCut(getCuts(fleet).store, `vm${fault.vm}`),
+  cutFromPeers: (fleet, fault) => addCut(getCuts(fleet).peers, `vm${fault.vm}`),
+  cutOneLink: (fleet, fault) => addCut(getCuts(fleet).links, `vm${fault.vm}-vm${fault.otherVm}`),
   loseMessages: (fleet) => {
     fleet.lossRate = 0.3;
     return () => {
@@ -139,12 +139,12 @@
   },
 };
 
-/** Plans the faults of a schedule; each is mended after its time. */
-export function planFaults(fleet: LocalFleet, schedule: readonly Fault[]): void {
+/** Schedules the faults on the virtual clock; each is cleared after its duration. */
+export function scheduleFaults(fleet: LocalFleet, schedule: readonly Fault[]): void {
   for (const fault of schedule) {
     fleet.clock.after(fault.at, () => {
-      const mend = STRIKES[fault.kind](fleet, fault);
-      fleet.clock.after(fault.forMs, mend);
+      const clear = FAULT_INJECTORS[fault.kind](fleet, fault);
+      fleet.clock.after(fault.forMs, clear);
     });
   }
 }
--- a/src/tests/core/fixtures.ts
+++ b/src/tests/core/fixtures.ts
@@ -7,7 +7,7 @@
 } from '../../core/index.js';
 import { DEFAULT_CORE_SETTINGS } from '../../core/index.js';
 
-/** Settings of an entry process of zone `a`. */
+/** Creates the settings of an entry process in zone `a`. */
 export function makeCoreSettings(changes: Partial<CoreSettings> = {}): CoreSettings {
   return {
     ...DEFAULT_CORE_SETTINGS,
@@ -17,7 +17,7 @@
   };
 }
 
-/** A service with some targets in zone `a`, of two slots each. */
+/** Creates a service with targets in zone `a` that have two slots each. */
 export function makeService(name: string, targetCount: number): ServiceConfig {
   return {
     name,
@@ -43,7 +43,7 @@
   };
 }
 
-/** A configuration of the given services with zone `a` in. */
+/** Creates a configuration of the given services, with zone `a` in. */
 export function makeConfiguration(
   generation: number,
   services: readonly ServiceConfig[],
@@ -64,10 +64,10 @@
 }
 
 /**
- * Lets a process drive all targets of its assignment for good, as if it had joined the fleet, held
- * its lease and had word of the configuration: for tests of parts that membership doesn't touch.
+ * Makes a process the sole member of a fleet, with a lease and a configuration confirmation that
+ * never expire. It drives all targets. For tests of parts that do not depend on membership.
  */
-export function letDrive(state: EntryState): void {
+export function makeSoleMember(state: EntryState): void {
   const { self } = state.settings;
   state.fleet.assignment = { epoch: 1, members: [self], earlier: [], nonce: 'alone' };
   state.fleet.leaseEnd = Number.POSITIVE_INFINITY;
--- a/src/tests/core/fleet/membership.test.ts
+++ b/src/tests/core/fleet/membership.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 
-import { isFresh } from '../../../core/fleet/index.js';
+import { isConfigurationFresh } from '../../../core/fleet/index.js';
 import { makeConfiguration, makeService } from '../fixtures.js';
 import type { LocalFleetOptions } from '../LocalFleet.js';
 import { LocalFleet } from '../LocalFleet.js';
 
 const ZONES = ['a', 'b', 'c'];
 
-/** A fleet with a configuration in the store, a while after its start. */
+/** Starts a fleet with a configuration in the store and runs it for three seconds. */
 function startFleet(options: LocalFleetOptions): LocalFleet {
   const fleet = new LocalFleet(options);
   const { root, services } = makeConfiguration(1, [makeService('horaires', 12)]);
@@ -22,106 +22,113 @@
   return fleet;
 }
 
-/** Partitions that are driven by exactly one process. */
-function countDriven(fleet: LocalFleet): number {
+/** Counts the partitions that are driven by exactly one process. */
+function countDrivenPartitions(fleet: LocalFleet): number {
   return [...fleet.getPartitions()].filter((partition) => fleet.getDrivers(partition).length === 1)
     .length;
 }
 
-const ALL = ZONES.length * 32;
+const PARTITION_COUNT = ZONES.length * 32;
 
-/** Runs on and gives the longest time that some partition was without a driver. */
-function measureIdle(fleet: LocalFleet, ms: number): number {
+/** Runs the fleet; returns the time from which all partitions stay driven, 0 if they always are. */
+function measureIdleMs(fleet: LocalFleet, ms: number): number {
   const start = fleet.clock.now();
-  let last = start;
+  let lastIdleAt = start;
   for (let at = 0; at < ms; at += 10) {
     fleet.runFor(10);
-    if (countDriven(fleet) < ALL) last = fleet.clock.now();
+    if (countDrivenPartitions(fleet) < PARTITION_COUNT) lastIdleAt = fleet.clock.now();
   }
-  return last - start;
+  return lastIdleAt - start;
 }
 
-test('one process, two and seventeen come to drive every partition once', (t) => {
+test('fleets of 1, 2 and 17 processes drive every partition exactly once', (t) => {
   for (const size of [1, 2, 17]) {
     const fleet = startFleet({ size });
-    t.is(countDriven(fleet), ALL, `${size} processes`);
+    t.is(countDrivenPartitions(fleet), PARTITION_COUNT, `${size} processes`);
     t.deepEqual(fleet.getConflicts(), []);
-    t.true(fleet.at(0).state.fleet.assignment.epoch <= 3, 'they are let in together');
+    t.true(
+      fleet.getProcess(0).state.fleet.assignment.epoch <= 3,
+      'processes that start together join in few epochs',
+    );
   }
 });
 
-test('a process that ended is replaced within two heartbeats', (t) => {
-  // The process of an entry VM crashes while its machine goes on. Its targets get nothing until
-  // others drive them; callers see requests wait or be refused for as long.
+test('an ended process is replaced within two heartbeats', (t) => {
+  // The process of an entry VM crashes while its VM keeps running. Its targets are idle until other
+  // processes drive them, and until then requests wait or are refused.
   const fleet = startFleet({ size: 17 });
-  fleet.at(4).condition = 'ended';
-  t.true(measureIdle(fleet, 3_000) <= 400);
+  fleet.getProcess(4).condition = 'ended';
+  t.true(measureIdleMs(fleet, 3_000) <= 400);
 });
 
-test('a dead VM is replaced once its last lease has run out', (t) => {
-  // A machine vanishes without a word, and nobody can tell whether it is only paused. Its targets
-  // stand idle until its lease has run out, no longer.
+test('a dead VM is replaced as soon as its last lease expires', (t) => {
+  // A VM fails without notice, and other processes can't tell that from a pause. Its targets have
+  // to stay idle until its lease has expired, but no longer.
   const fleet = startFleet({ size: 17 });
-  fleet.at(4).condition = 'dead';
-  const { leaseDurationMs, leaseMarginMs } = fleet.at(0).state.settings;
-  t.true(measureIdle(fleet, 5_000) <= leaseDurationMs + leaseMarginMs + 100);
+  fleet.getProcess(4).condition = 'dead';
+  const { leaseDurationMs, leaseMarginMs } = fleet.getProcess(0).state.settings;
+  t.true(measureIdleMs(fleet, 5_000) <= leaseDurationMs + leaseMarginMs + 100);
 });
 
-test('a holder that wakes from a pause drives nothing that others drive by then', (t) => {
-  // A virtual machine is stopped for some seconds, as when it is moved. When it goes on it still
-  // believes that it holds its lease; a target would get twice what it bears.
+test('a holder that resumes from a pause drives no partition that was taken over', (t) => {
+  // A VM is paused for some seconds, as in a live migration. When it resumes, its process still
+  // assumes that it holds its lease. If it acted on that, targets would get twice the load that
+  // they can carry.
   const fleet = startFleet({ size: 5 });
-  const paused = fleet.at(2);
+  const paused = fleet.getProcess(2);
   paused.condition = 'paused';
   fleet.runFor(4_000);
-  t.is(countDriven(fleet), ALL);
+  t.is(countDrivenPartitions(fleet), PARTITION_COUNT);
   fleet.resume(paused);
   let conflicts = 0;
   fleet.runFor(3_000, () => {
     conflicts += fleet.getConflicts().length;
   });
   t.is(conflicts, 0);
-  t.is(countDriven(fleet), ALL);
-  t.true(paused.state.fleet.granted.size > 0, 'it joined again');
+  t.is(countDrivenPartitions(fleet), PARTITION_COUNT);
+  t.true(paused.state.fleet.granted.size > 0, 'the process joined again');
 });
 
-test('holders go on through a long outage of the store', (t) => {
-  // The platform's store is down for a minute. No lease can be renewed, and without the members
-  // bearing one another out the whole fleet would stop.
+test('holders keep their partitions during a long store outage', (t) => {
+  // The platform's store is down for a minute and no lease can be renewed there. Without
+  // confirmations among the members, the whole fleet would stop.
   const fleet = startFleet({ size: 7 });
   fleet.store.faults.down = 'hanging';
-  t.is(measureIdle(fleet, 60_000), 0);
+  t.is(measureIdleMs(fleet, 60_000), 0);
   fleet.store.faults.down = undefined;
-  t.is(measureIdle(fleet, 5_000), 0);
+  t.is(measureIdleMs(fleet, 5_000), 0);
 });
 
-test('an entry VM that is cut off drives nothing, and takes no new work once it hears nobody', (t) => {
-  // The network of one machine fails but for a single peer, then altogether. Once nobody tells it
-  // whether a zone was taken out meanwhile, its callers must go elsewhere.
+test('an isolated entry VM drives nothing, and takes no new work once it has no peer left', (t) => {
+  // The network of one VM fails except for the link to a single peer, then completely. From then on
+  // it can't learn whether a zone was taken out, so it must not accept requests.
   const fleet = startFleet({ size: 7 });
-  const cut = fleet.at(3);
-  const friend = fleet.at(4);
-  fleet.reachesStore = (process) => process !== cut;
+  const cut = fleet.getProcess(3);
+  const friend = fleet.getProcess(4);
+  fleet.canReachStore = (process) => process !== cut;
   fleet.isLinked = (from, to) => {
     if (from !== cut && to !== cut) return true;
     return from === friend || to === friend;
   };
   fleet.runFor(5_000);
   t.is(fleet.getDrivers([...cut.state.fleet.granted][0] ?? '').includes(cut), false);
-  t.is(countDriven(fleet), ALL);
-  t.true(isFresh(cut.state, fleet.now(cut)), 'its peer tells it');
+  t.is(countDrivenPartitions(fleet), PARTITION_COUNT);
+  t.true(
+    isConfigurationFresh(cut.state, fleet.getTime(cut)),
+    'its peer confirms the configuration',
+  );
   fleet.isLinked = (from, to) => from !== cut && to !== cut;
   fleet.runFor(cut.state.settings.freshnessMs + 600);
-  t.false(isFresh(cut.state, fleet.now(cut)));
-  t.true(isFresh(friend.state, fleet.now(friend)));
+  t.false(isConfigurationFresh(cut.state, fleet.getTime(cut)));
+  t.true(isConfigurationFresh(friend.state, fleet.getTime(friend)));
 });
 
-test('a planned stop hands over at once, serves old addresses and then exits', (t) => {
-  // An operator replaces a VM. Callers keep its address for a while and must not notice.
+test('a planned stop hands over at once, serves cached addresses and then exits', (t) => {
+  // An operator replaces a VM. Callers that still have its address cached must not be affected.
   const fleet = startFleet({ size: 5 });
-  const leaving = fleet.at(1);
+  const leaving = fleet.getProcess(1);
   fleet.dispatch(leaving, { kind: 'stopAsked' });
-  t.true(measureIdle(fleet, 2_000) <= 50);
+  t.true(measureIdleMs(fleet, 2_000) <= 50);
   t.is(leaving.state.fleet.granted.size, 0);
   const { addressTtlMs } = leaving.state.settings;
   fleet.runFor(addressTtlMs - 2_000);
@@ -129,5 +136,5 @@
   fleet.runFor(2_500);
   t.is(leaving.condition, 'ended');
   t.is(fleet.store.peek(`fleet/members/${leaving.id}`), undefined);
-  t.is(countDriven(fleet), ALL);
+  t.is(countDrivenPartitions(fleet), PARTITION_COUNT);
 });
--- a/src/tests/core/fleet/properties.test.ts
+++ b/src/tests/core/fleet/properties.test.ts
@@ -4,22 +4,22 @@
 import type { Guards } from '../../../core/index.js';
 import { makeConfiguration, makeService } from '../fixtures.js';
 import type { Fault } from '../faultSchedules.js';
-import { drawSchedule, planFaults } from '../faultSchedules.js';
+import { drawSchedule, scheduleFaults } from '../faultSchedules.js';
 import { LocalFleet } from '../LocalFleet.js';
 
 const SIZE = 3;
-const SPAN_MS = 8_000;
+const FAULT_PERIOD_MS = 8_000;
 const RUNS = Number(process.env.MASTICLINK_RUNS ?? 20);
 const SEED = Number(process.env.MASTICLINK_SEED ?? 7);
 
-interface Seen {
+interface Observations {
   readonly broken: string[];
   readonly epochs: Map<string, number>;
   readonly generations: Map<string, number>;
 }
 
-/** Checks what must hold after every event. */
-function check(fleet: LocalFleet, seen: Seen): void {
+/** Checks the invariants that must hold after every event. */
+function checkInvariants(fleet: LocalFleet, seen: Observations): void {
   const at = Math.round(fleet.clock.now());
   for (const partition of fleet.getConflicts()) {
     const drivers = fleet.getDrivers(partition).map(({ id }) => id);
@@ -28,32 +28,32 @@
   for (const { id, state } of fleet.processes) {
     const { epoch } = state.fleet.assignment;
     const { generation } = state.configuration.current;
-    if (epoch < (seen.epochs.get(id) ?? 0)) seen.broken.push(`${at}: ${id} went back an epoch`);
+    if (epoch < (seen.epochs.get(id) ?? 0)) seen.broken.push(`${at}: ${id} reverted its epoch`);
     if (generation < (seen.generations.get(id) ?? 0)) {
-      seen.broken.push(`${at}: ${id} went back a generation`);
+      seen.broken.push(`${at}: ${id} reverted a generation`);
     }
     seen.epochs.set(id, epoch);
     seen.generations.set(id, generation);
   }
 }
 
-/** Checks that everything is driven again, once all faults are mended for a while. */
-function checkRecovered(fleet: LocalFleet, seen: Seen): void {
-  const able = fleet.processes.filter(
+/** Checks that all partitions are driven again some time after all faults were cleared. */
+function checkRecovered(fleet: LocalFleet, seen: Observations): void {
+  const available = fleet.processes.filter(
     ({ condition, state }) => condition === 'running' && !state.fleet.stopping,
   );
-  if (able.length === 0) return;
-  const idle = [...fleet.getPartitions()].filter((each) => fleet.getDrivers(each).length === 0);
-  if (idle.length > 0) seen.broken.push(`nobody drives ${idle.join(', ')} in the end`);
-  const behind = able.filter(({ state }) => state.configuration.current.generation < 2);
-  if (behind.length > 0 && fleet.store.peek('config/root') !== undefined) {
+  if (available.length === 0) return;
+  const undriven = [...fleet.getPartitions()].filter((each) => fleet.getDrivers(each).length === 0);
+  if (undriven.length > 0) seen.broken.push(`not driven at the end: ${undriven.join(', ')}`);
+  const outdated = available.filter(({ state }) => state.configuration.current.generation < 2);
+  if (outdated.length > 0 && fleet.store.peek('config/root') !== undefined) {
     const latest = (fleet.store.peek('config/root')?.value as { generation: number }).generation;
-    if (latest === 2) seen.broken.push(`${behind.map(({ id }) => id).join(', ')} stay behind`);
+    if (latest === 2) seen.broken.push(`${outdated.map(({ id }) => id).join(', ')} lag behind`);
   }
 }
 
-/** Publishes a later generation from time to time, as far as the store lets it. */
-function publishNow(fleet: LocalFleet, generation: number): void {
+/** Publishes a generation, if the store accepts it. */
+function publish(fleet: LocalFleet, generation: number): void {
   const { root, services } = makeConfiguration(generation, [makeService('horaires', 6)]);
   const zones = ['a', 'b', 'c'].map((name) => ({ name, region: 'north', state: 'in' as const }));
   const key = 'config/root';
@@ -65,7 +65,7 @@
   fleet.store.call({ op: 'put', key, value: { ...root, zones }, expect }, () => {});
 }
 
-/** Runs a fleet of three through a schedule and gives what was broken. */
+/** Runs a fleet of three through a schedule and returns the violations. */
 function runSchedule(
   schedule: readonly Fault[],
   seed: number,
@@ -73,24 +73,24 @@
 ): { fleet: LocalFleet; broken: string[] } {
   const settings = { partitionsPerZone: 4, addressTtlMs: 1_000 };
   const fleet = new LocalFleet({ size: SIZE, seed, guards, settings });
-  publishNow(fleet, 1);
+  publish(fleet, 1);
   fleet.runFor(2_000);
-  planFaults(fleet, schedule);
-  fleet.clock.after(3_000, () => publishNow(fleet, 2));
-  const seen: Seen = { broken: [], epochs: new Map(), generations: new Map() };
-  fleet.runFor(SPAN_MS + 10_000, () => {
-    if (seen.broken.length === 0) check(fleet, seen);
+  scheduleFaults(fleet, schedule);
+  fleet.clock.after(3_000, () => publish(fleet, 2));
+  const seen: Observations = { broken: [], epochs: new Map(), generations: new Map() };
+  fleet.runFor(FAULT_PERIOD_MS + 10_000, () => {
+    if (seen.broken.length === 0) checkInvariants(fleet, seen);
   });
   if (seen.broken.length === 0) checkRecovered(fleet, seen);
   return { fleet, broken: seen.broken };
 }
 
-const schedules = drawSchedule(SIZE, SPAN_MS);
+const schedules = drawSchedule(SIZE, FAULT_PERIOD_MS);
 const seeds = fc.integer({ min: 1, max: 1_000_000 });
 
-test('no target ever has two drivers, and no epoch or generation goes back', (t) => {
-  // Machines pause, crash and vanish, links and the store fail, answers get lost, several at once.
-  // Were two processes to drive a target, it would get more than it bears.
+test('no partition ever has two drivers, and no epoch or generation decreases', (t) => {
+  // Processes pause and crash; VMs, links and the store fail; answers get lost; several of these at
+  // once. If two processes drove the same target, it would get more load than it can carry.
   fc.assert(
     fc.property(schedules, seeds, (schedule, seed) => {
       const { broken } = runSchedule(schedule, seed);
@@ -105,7 +105,7 @@
   return { kind, at, forMs, vm, otherVm };
 }
 
-/** Schedules, found by the property above, that break a promise once a guard is taken away. */
+/** Schedules, found by the property above, that violate an invariant without the given guard. */
 const CASES: readonly { guards: Partial<Guards>; seed: number; schedule: readonly Fault[] }[] = [
   {
     guards: { leaseCheckBeforeSend: () => true },
@@ -146,8 +146,8 @@
 ];
 
 for (const { guards, seed, schedule } of CASES) {
-  test(`only ${Object.keys(guards).join()} keeps its schedule of faults whole`, (t) => {
-    // A check that can't fail proves nothing.
+  test(`only ${Object.keys(guards).join()} prevents violations under its fault schedule`, (t) => {
+    // Shows that the check can fail: the same schedule without the guard violates an invariant.
     t.deepEqual(runSchedule(schedule, seed).broken, []);
     t.not(runSchedule(schedule, seed, guards).broken.length, 0);
   });
--- a/src/tests/core/keys/atMostOnce.test.ts
+++ b/src/tests/core/keys/atMostOnce.test.ts
@@ -4,7 +4,7 @@
 import type { Effect, Guards } from '../../../core/index.js';
 import { makeConfiguration, makeService } from '../fixtures.js';
 import type { Fault } from '../faultSchedules.js';
-import { drawSchedule, planFaults } from '../faultSchedules.js';
+import { drawSchedule, scheduleFaults } from '../faultSchedules.js';
 import type { Process } from '../LocalFleet.js';
 import { LocalFleet } from '../LocalFleet.js';
 
@@ -41,7 +41,7 @@
 
   /** Sends a booking with a key to an entry VM; returns the request's name. */
   book(vm: number, key: string, fingerprint = 'booking'): string {
-    const process = this.fleet.at(vm);
+    const process = this.fleet.getProcess(vm);
     const request = this.nextRequest;
     this.nextRequest += 1;
     const name = `${process.id}/${request}`;
@@ -54,7 +54,7 @@
       method: 'POST',
       fingerprint,
       key,
-      deadlineAt: this.fleet.now(process) + 4_000,
+      deadlineAt: this.fleet.getTime(process) + 4_000,
     });
     return name;
   }
@@ -150,7 +150,7 @@
     const home = seed % 4;
     keyed.book((seed + 1) % 4, 'k');
     keyed.fleet.runFor(seed);
-    const paused = keyed.fleet.at(home);
+    const paused = keyed.fleet.getProcess(home);
     paused.condition = 'paused';
     keyed.fleet.runFor(3_000);
     keyed.book((seed + 2) % 4, 'k');
@@ -187,12 +187,12 @@
   guards: Partial<Guards> = {},
 ): string[] {
   const keyed = new KeyedFleet(3, seed, guards);
-  planFaults(keyed.fleet, schedule);
+  scheduleFaults(keyed.fleet, schedule);
   const violations: string[] = [];
   for (let i = 0; i < 18; i++) {
     keyed.fleet.runFor(300);
     const vm = Math.floor(keyed.fleet.random() * 3);
-    if (keyed.fleet.at(vm).condition !== 'ended') keyed.book(vm, `k${i % 3}`);
+    if (keyed.fleet.getProcess(vm).condition !== 'ended') keyed.book(vm, `k${i % 3}`);
   }
   keyed.fleet.runFor(8_000);
   for (const [key, names] of keyed.sent) {
--- a/src/tests/core/reduce.test.ts
+++ b/src/tests/core/reduce.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 
 import { createEntryState, reduce } from '../../core/index.js';
-import { letDrive, makeConfiguration, makeCoreSettings, makeService } from './fixtures.js';
+import { makeSoleMember, makeConfiguration, makeCoreSettings, makeService } from './fixtures.js';
 
-test('a request goes to a target and its answer to the caller', (t) => {
+test('a request is sent to a target and its answer is relayed to the caller', (t) => {
   const state = createEntryState(makeCoreSettings(), 0);
-  letDrive(state);
+  makeSoleMember(state);
   const context = { now: 1, random: () => 0.5 };
   reduce(
     state,
--- a/src/tests/core/requests/CoreDriver.ts
+++ b/src/tests/core/requests/CoreDriver.ts
@@ -12,7 +12,7 @@
 import { DEFAULT_GUARDS } from '../../../core/guards.js';
 import { createEntryState, reduce } from '../../../core/index.js';
 import { createRandom } from '../../../standIns/models/index.js';
-import { letDrive, makeConfiguration, makeCoreSettings } from '../fixtures.js';
+import { makeSoleMember, makeConfiguration, makeCoreSettings } from '../fixtures.js';
 
 type SendAttempt = Extract<Effect, { kind: 'sendAttempt' }>;
 
@@ -53,7 +53,7 @@
    */
   constructor(services: readonly ServiceConfig[], guards: Partial<Guards> = {}) {
     this.state = createEntryState(makeCoreSettings(), 0, { ...DEFAULT_GUARDS, ...guards });
-    letDrive(this.state);
+    makeSoleMember(this.state);
     this.dispatch({ kind: 'configurationPushed', ...makeConfiguration(1, services) });
   }
 
--- a/src/tests/core/storeCalls/budget.test.ts
+++ b/src/tests/core/storeCalls/budget.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 
-import { drawSchedule, planFaults } from '../faultSchedules.js';
+import { drawSchedule, scheduleFaults } from '../faultSchedules.js';
 import { LocalFleet } from '../LocalFleet.js';
 
 const WINDOW_MS = 1_000;
@@ -35,10 +35,10 @@
       const fleet = new LocalFleet({ size: 4, seed, settings });
       fleet.runFor(1_000);
       fleet.start(4);
-      planFaults(fleet, schedule);
+      scheduleFaults(fleet, schedule);
       fleet.runFor(10_000);
       const { storeReadsPerSecond: reads, storeWritesPerSecond: writes } = settings;
-      const peaks = [getPeak(fleet.writeTimes), getPeak(fleet.readTimes)];
+      const peaks = [getPeak(fleet.storeWriteTimes), getPeak(fleet.storeReadTimes)];
       return (peaks[0] ?? 0) <= writes + burst(writes) && (peaks[1] ?? 0) <= reads + burst(reads);
     }),
     { seed: 3, numRuns: 15 },
@@ -55,7 +55,7 @@
   const restoredAt = fleet.clock.now();
   fleet.store.faults.down = undefined;
   fleet.runFor(1_000);
-  const firstCalls = [...fleet.writeTimes, ...fleet.readTimes].filter(
+  const firstCalls = [...fleet.storeWriteTimes, ...fleet.storeReadTimes].filter(
     (time) => time > restoredAt && time <= restoredAt + 10,
   );
   t.true(firstCalls.length <= 12, `${firstCalls.length} calls in the first 10 ms`);
--- a/src/tests/core/version.test.ts
+++ b/src/tests/core/version.test.ts
@@ -4,7 +4,7 @@
 
 import { VERSION } from '../../core/version.js';
 
-test('the version is the one of the package', (t) => {
+test('VERSION matches package.json', (t) => {
   const manifest = JSON.parse(
     readFileSync(new URL('../../../package.json', import.meta.url), 'utf8'),
   ) as { version: string };
--- a/src/tests/entry/stop.test.ts
+++ b/src/tests/entry/stop.test.ts
@@ -28,7 +28,7 @@
   });
   await until(() => entry.state.requests.attempts.size === 1);
   const stopped = entry.stop();
-  await until(() => performance.now() > (entry.state.fleet.stopAskedAt ?? Infinity) + 100);
+  await until(() => performance.now() > (entry.state.fleet.stopRequestedAt ?? Infinity) + 100);
   release();
   const { statusCode, headers, body } = await asked;
   t.is(await body.text(), 'booked');
