--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -255,7 +255,7 @@
     readVmList();
     this.timers.subscribe(this.settings.vmListPeriodMs, readVmList);
     this.levels.subscribe(this.timers);
-    this.timers.subscribe(IDLE_CHANNELS_MS, () => this.peers.closeIdle());
+    this.timers.subscribe(IDLE_CHANNELS_MS, () => this.peers.closeIdleChannels());
   }
 
   /**
--- a/src/entry/attempts/ForwardAttempt.ts
+++ b/src/entry/attempts/ForwardAttempt.ts
@@ -3,7 +3,12 @@
 import type { ServiceError } from '@grpc/grpc-js';
 
 import type { AttemptEnd, CoreEvent } from '../../core/index.js';
-import type { AnswerFrame, ForwardAnswer, ForwardCall, ForwardHead } from '../../peers/index.js';
+import type {
+  AnswerFrame,
+  ForwardAnswerHead,
+  OutgoingPeerCall,
+  ForwardHead,
+} from '../../peers/index.js';
 import { checkAnswerFrame, provesNotDelivered } from '../../peers/index.js';
 import type { AnswerSink, AnswerSource, Exchange } from '../exchange/Exchange.js';
 import type { Attempt } from './Attempt.js';
@@ -17,13 +22,13 @@
   readonly remainingMs: number;
   readonly onBodyTooLarge: () => void;
   /** Opens the call to the peer. */
-  readonly open: () => ForwardCall;
+  readonly open: () => OutgoingPeerCall;
 }
 
 /** A request on its way to another entry VM. */
 export class ForwardAttempt implements Attempt, AnswerSource {
   /** @internal */
-  private call: ForwardCall | undefined;
+  private call: OutgoingPeerCall | undefined;
 
   /** @internal */
   private body: Readable | undefined;
@@ -82,7 +87,7 @@
   }
 
   /** @internal */
-  private sendBody(call: ForwardCall, body: Readable): void {
+  private sendBody(call: OutgoingPeerCall, body: Readable): void {
     this.body = body;
     body.on('data', (data: Buffer) => {
       if (!call.write({ kind: 'body', data })) body.pause();
@@ -122,7 +127,7 @@
   }
 
   /** @internal */
-  private takeAnswer(frame: ForwardAnswer): boolean {
+  private takeAnswer(frame: ForwardAnswerHead): boolean {
     const { status, headers, endsWithConnection, ownOutcome, retryAfterMs, spare } = frame;
     const event: CoreEvent = {
       kind: 'attemptAnswered',
--- a/src/entry/exchange/FrameBody.ts
+++ b/src/entry/exchange/FrameBody.ts
@@ -1,11 +1,11 @@
 import { Readable } from 'node:stream';
 
-import type { ForwardedCall } from '../../peers/index.js';
+import type { IncomingPeerCall } from '../../peers/index.js';
 
 /** A forwarded request's body as it comes in frames, no faster than it is read. */
 export class FrameBody extends Readable {
   /** @param call - The call that the frames come by. */
-  constructor(private readonly call: ForwardedCall) {
+  constructor(private readonly call: IncomingPeerCall) {
     super();
   }
 
--- a/src/entry/exchange/PeerExchange.ts
+++ b/src/entry/exchange/PeerExchange.ts
@@ -5,7 +5,7 @@
   ServiceSpare,
   StoredAnswer,
 } from '../../core/index.js';
-import type { AnswerFrame, ForwardedCall, ForwardHead } from '../../peers/index.js';
+import type { AnswerFrame, IncomingPeerCall, ForwardHead } from '../../peers/index.js';
 import type { AnswerHead, AnswerSource, Exchange, RequestHead } from './Exchange.js';
 import { getProblemHeaders, PROBLEM_TYPE, writeProblemBody } from './problem.js';
 import type { RequestBody } from './RequestBody.js';
@@ -15,7 +15,7 @@
   readonly id: RequestId;
   readonly head: ForwardHead;
   readonly body: RequestBody;
-  readonly call: ForwardedCall;
+  readonly call: IncomingPeerCall;
   /** How the service stands here, told with each answer. */
   readonly getSpare: () => ServiceSpare | undefined;
 }
@@ -40,7 +40,7 @@
   isDone = false;
 
   /** @internal */
-  private readonly call: ForwardedCall;
+  private readonly call: IncomingPeerCall;
 
   /** @param parts - What is known of the request. */
   constructor(private readonly parts: PeerExchangeParts) {
--- a/src/entry/exchange/PeerGate.ts
+++ b/src/entry/exchange/PeerGate.ts
@@ -2,7 +2,7 @@
 
 import type { CoreEvent, EntryState, EntryVmId } from '../../core/index.js';
 import { getServiceSpare } from '../../core/index.js';
-import type { ForwardedCall, ForwardHead } from '../../peers/index.js';
+import type { IncomingPeerCall, ForwardHead } from '../../peers/index.js';
 import { checkForwardFrame } from '../../peers/index.js';
 import type { Clock } from '../../timing/index.js';
 import type { Exchanges } from './Exchanges.js';
@@ -21,7 +21,7 @@
   readonly dispatch: (event: CoreEvent) => void;
 }
 
-function refuse(call: ForwardedCall, details: string): void {
+function refuse(call: IncomingPeerCall, details: string): void {
   call.emit('error', { code: status.INVALID_ARGUMENT, details });
 }
 
@@ -35,7 +35,7 @@
    * @param from - The member that forwards.
    * @param call - Its frames.
    */
-  accept(from: EntryVmId, call: ForwardedCall): void {
+  accept(from: EntryVmId, call: IncomingPeerCall): void {
     let body: FrameBody | undefined;
     let isBodyWhole = false;
     let hasHead = false;
@@ -66,7 +66,7 @@
   /** @internal */
   private announce(
     from: EntryVmId,
-    call: ForwardedCall,
+    call: IncomingPeerCall,
     head: ForwardHead,
     stream: FrameBody | undefined,
   ): void {
--- a/src/peers/MessageStream.ts
+++ b/src/peers/MessageStream.ts
@@ -2,40 +2,41 @@
 
 import type { PeerMessage } from '../core/index.js';
 import { provesProcessEnded } from './failures.js';
-import type { ForwardCall } from './PeerClient.js';
+import type { OutgoingPeerCall } from './PeerClient.js';
 
-/** How a message stream is opened, and who hears of its end. */
+/** Opens the call of a message stream and handles its failures. */
 export interface MessageStreamOptions {
-  readonly open: () => ForwardCall;
+  readonly open: () => OutgoingPeerCall;
   readonly onFailed: (reason: 'refused' | 'unreachable') => void;
 }
 
-/** Messages that may wait for a peer that takes none. */
-const MAX_WAITING = 2_000;
+/** Messages to buffer for a peer that does not read; above this, messages are dropped. */
+const MAX_QUEUED_MESSAGES = 2_000;
 
 /**
- * One-way messages to one peer, in order, over one long call. A call that breaks off is told as a
- * failed delivery: messages on their way may be lost, and the core sends again what must arrive.
+ * Sends one-way messages to one peer, in order, over one long-lived call. A call that fails is
+ * reported to `onFailed`. Messages in flight may then be lost; the core resends what must arrive.
  */
 export class MessageStream {
   /** @internal */
-  private call: ForwardCall | undefined;
+  private call: OutgoingPeerCall | undefined;
 
-  /** @param options - How it is opened. */
+  /** @param options - Opens the call and handles its failures. */
   constructor(private readonly options: MessageStreamOptions) {}
 
   /**
-   * Sends a message.
+   * Sends a message and opens the call if there is none. The message is dropped and reported as
+   * `unreachable` if too many are buffered already.
    * @param message - The message.
    */
   send(message: PeerMessage): void {
-    this.call ??= this.start();
-    // A peer that is paused takes nothing; what waits for it must not fill the memory.
-    if (this.call.writableLength > MAX_WAITING) this.options.onFailed('unreachable');
+    this.call ??= this.openCall();
+    // A paused peer reads nothing; messages buffered for it must not exhaust the memory.
+    if (this.call.writableLength > MAX_QUEUED_MESSAGES) this.options.onFailed('unreachable');
     else this.call.write(message);
   }
 
-  /** Ends the call without a word to anyone. */
+  /** Cancels the call without reporting a failure. */
   close(): void {
     const { call } = this;
     this.call = undefined;
@@ -43,27 +44,27 @@
   }
 
   /** @internal */
-  private start(): ForwardCall {
+  private openCall(): OutgoingPeerCall {
     const call = this.options.open();
-    let wasOpen = false;
+    let wasEstablished = false;
     call.on('metadata', () => {
-      wasOpen = true;
+      wasEstablished = true;
     });
     call.on('data', () => {});
-    call.on('error', (error: ServiceError) => this.fail(call, error, wasOpen));
+    call.on('error', (error: ServiceError) => this.handleError(call, error, wasEstablished));
     return call;
   }
 
   /** @internal */
-  private fail(call: ForwardCall, error: ServiceError, wasOpen: boolean): void {
+  private handleError(call: OutgoingPeerCall, error: ServiceError, wasEstablished: boolean): void {
     if (this.call !== call) return;
     this.call = undefined;
     if (provesProcessEnded(error)) this.options.onFailed('refused');
     else {
       this.options.onFailed('unreachable');
-      // A process that ended breaks its connections first; only the next one tells that nothing
-      // listens any more, and the fleet should not wait for the next message to learn it.
-      if (wasOpen) this.call ??= this.start();
+      // When a process ends, its open connections break, which does not prove its end. A new call
+      // does, as its connection is refused; without it, the fleet would wait for the next message.
+      if (wasEstablished) this.call ??= this.openCall();
     }
   }
 }
--- a/src/peers/PeerClient.ts
+++ b/src/peers/PeerClient.ts
@@ -3,16 +3,22 @@
 
 import type { EntryVmId, PeerMessage } from '../core/index.js';
 import { MessageStream } from './MessageStream.js';
-import { FORWARD, FROM_KEY, MAX_MESSAGE_BYTES, MESSAGES, TO_KEY } from './peerService.js';
+import {
+  FORWARD_METHOD,
+  FROM_METADATA_KEY,
+  MAX_MESSAGE_BYTES,
+  MESSAGES_METHOD,
+  TO_METADATA_KEY,
+} from './peerService.js';
 
-/** Who sends, and who hears of messages that could not be delivered. */
+/** Id of the sending member and the handler for messages that could not be delivered. */
 export interface PeerClientOptions {
   readonly self: EntryVmId;
   readonly onFailed: (peer: EntryVmId, reason: 'refused' | 'unreachable') => void;
 }
 
-/** A forwarded request: frames out, frames of the answer in. */
-export type ForwardCall = ClientDuplexStream<unknown, unknown>;
+/** Client side of a call to another entry VM, for messages or for one forwarded request. */
+export type OutgoingPeerCall = ClientDuplexStream<unknown, unknown>;
 
 const CHANNEL_OPTIONS = {
   'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
@@ -32,62 +38,62 @@
   usedAt: number;
 }
 
-/** A channel that was not used for so long belongs to a member that is gone, in milliseconds. */
+/** A channel unused for longer than this, in milliseconds, belongs to a member that is gone. */
 const CHANNEL_IDLE_MS = 60_000;
 
 function openCall(
   client: Client,
   metadata: Metadata,
   method: MethodDefinition<unknown, unknown>,
-): ForwardCall {
+): OutgoingPeerCall {
   const { path, requestSerialize, responseDeserialize } = method;
   return client.makeBidiStreamRequest(path, requestSerialize, responseDeserialize, metadata);
 }
 
-/** Calls other entry VMs. */
+/** Sends messages and forwards requests to other entry VMs, over one channel for each member. */
 export class PeerClient {
   /**
-   * By member, not by address: a restarted process is a new member, and an error that a channel
-   * kept from the time before must not be taken for one of the new process.
+   * Keyed by member, not by address: a restarted process is a new member, and an error that a
+   * channel kept from the earlier process must not be attributed to the new one.
    * @internal
    */
   private readonly channels = new Map<EntryVmId, Channel>();
 
-  /** @param options - Who sends. */
+  /** @param options - Id of the sending member and the handler for failures. */
   constructor(private readonly options: PeerClientOptions) {}
 
   /**
-   * Sends a one-way message; a failure is told to `onFailed`.
-   * @param peer - The member.
-   * @param peerAddress - Its IP number and port.
+   * Sends a one-way message; a failed delivery is reported to `onFailed`.
+   * @param peer - Id of the receiving member.
+   * @param peerAddress - Its IP address and port.
    * @param message - The message.
    */
   send(peer: EntryVmId, peerAddress: string, message: PeerMessage): void {
-    this.get(peer, peerAddress).messages.send(message);
+    this.getOrOpenChannel(peer, peerAddress).messages.send(message);
   }
 
   /**
-   * Opens a forward of a request.
-   * @param peer - The member.
-   * @param peerAddress - Its IP number and port.
+   * Opens a call that forwards one request.
+   * @param peer - Id of the receiving member.
+   * @param peerAddress - Its IP address and port.
    */
-  forward(peer: EntryVmId, peerAddress: string): ForwardCall {
-    const { client, metadata } = this.get(peer, peerAddress);
-    return openCall(client, metadata, FORWARD);
+  forward(peer: EntryVmId, peerAddress: string): OutgoingPeerCall {
+    const { client, metadata } = this.getOrOpenChannel(peer, peerAddress);
+    return openCall(client, metadata, FORWARD_METHOD);
   }
 
-  /** Closes channels to members that were not called for long. */
-  closeIdle(): void {
-    const oldest = Date.now() - CHANNEL_IDLE_MS;
+  /** Closes channels that were not used for `CHANNEL_IDLE_MS`. */
+  closeIdleChannels(): void {
+    const cutoff = Date.now() - CHANNEL_IDLE_MS;
     for (const [peer, { client, messages, usedAt }] of this.channels) {
-      if (usedAt >= oldest) continue;
+      if (usedAt >= cutoff) continue;
       messages.close();
       client.close();
       this.channels.delete(peer);
     }
   }
 
-  /** Closes all channels. */
+  /** Closes all channels and cancels their calls for messages. */
   close(): void {
     for (const { client, messages } of this.channels.values()) {
       messages.close();
@@ -97,15 +103,15 @@
   }
 
   /** @internal */
-  private get(peer: EntryVmId, peerAddress: string): Channel {
+  private getOrOpenChannel(peer: EntryVmId, peerAddress: string): Channel {
     let channel = this.channels.get(peer);
     if (channel === undefined) {
       const metadata = new Metadata();
-      metadata.set(TO_KEY, peer);
-      metadata.set(FROM_KEY, this.options.self);
+      metadata.set(TO_METADATA_KEY, peer);
+      metadata.set(FROM_METADATA_KEY, this.options.self);
       const client = new Client(peerAddress, credentials.createInsecure(), CHANNEL_OPTIONS);
       const messages = new MessageStream({
-        open: () => openCall(client, metadata, MESSAGES),
+        open: () => openCall(client, metadata, MESSAGES_METHOD),
         onFailed: (reason) => this.options.onFailed(peer, reason),
       });
       channel = { client, metadata, messages, usedAt: 0 };
--- a/src/peers/PeerServer.ts
+++ b/src/peers/PeerServer.ts
@@ -5,18 +5,18 @@
 import { checkPeerMessage } from './checks.js';
 import { PeerListenError } from './errors.js';
 import {
-  FROM_KEY,
+  FROM_METADATA_KEY,
   MAX_MESSAGE_BYTES,
-  NOT_THIS_MEMBER,
+  NOT_THIS_MEMBER_DETAILS,
   PEER_SERVICE,
-  STARTING,
-  TO_KEY,
+  STARTING_DETAILS,
+  TO_METADATA_KEY,
 } from './peerService.js';
 
-/** A forwarded request as its receiver sees it: frames in, frames of the answer out. */
-export type ForwardedCall = ServerDuplexStream<unknown, unknown>;
+/** Server side of a call from another entry VM, for messages or for one forwarded request. */
+export type IncomingPeerCall = ServerDuplexStream<unknown, unknown>;
 
-/** Who listens where. */
+/** Id of the member that listens and its address; port 0 binds a free port. */
 export interface PeerServerOptions {
   readonly self: EntryVmId;
   readonly host: string;
@@ -25,17 +25,17 @@
 
 type CallError = Pick<ServiceError, 'code' | 'details'>;
 
-function getText(metadata: Metadata, key: string): string {
+function getMetadataText(metadata: Metadata, key: string): string {
   return String(metadata.get(key)[0] ?? '');
 }
 
-/** Takes calls of other entry VMs. */
+/** Accepts messages and forwarded requests from other entry VMs. */
 export class PeerServer {
-  /** Hears each message; until it is set, messages are refused. */
+  /** Handles each message; all calls are refused until this and `onForward` are set. */
   onMessage: ((from: EntryVmId, message: PeerMessage) => void) | undefined;
 
-  /** Takes each forwarded request; until it is set, they are refused. */
-  onForward: ((from: EntryVmId, call: ForwardedCall) => void) | undefined;
+  /** Handles each forwarded request; all calls are refused until this and `onMessage` are set. */
+  onForward: ((from: EntryVmId, call: IncomingPeerCall) => void) | undefined;
 
   /** @internal */
   private readonly server = new Server({
@@ -45,17 +45,17 @@
   /** @internal */
   private boundPort = 0;
 
-  /** @param options - Who listens where. */
+  /** @param options - Id of the member that listens and its address. */
   private constructor(private readonly options: PeerServerOptions) {
     this.server.addService(PEER_SERVICE, {
-      messages: (call: ForwardedCall) => this.takeMessages(call),
-      forward: (call: ForwardedCall) => this.takeForward(call),
+      messages: (call: IncomingPeerCall) => this.handleMessages(call),
+      forward: (call: IncomingPeerCall) => this.handleForward(call),
     });
   }
 
   /**
-   * Starts to listen; throws `PeerListenError` if the address is not free.
-   * @param options - Who listens where.
+   * Starts to listen; throws `PeerListenError` if the address can't be bound.
+   * @param options - Id of the member that listens and its address.
    */
   static async start(options: PeerServerOptions): Promise<PeerServer> {
     const server = new PeerServer(options);
@@ -63,12 +63,12 @@
     return server;
   }
 
-  /** IP number and port. */
+  /** IP address and bound port, as `ip:port`. */
   get address(): string {
     return `${this.options.host}:${this.boundPort}`;
   }
 
-  /** Ends all calls and listens no more. */
+  /** Ends all calls at once and stops listening. */
   close(): void {
     this.server.forceShutdown();
   }
@@ -81,36 +81,36 @@
       this.server.bindAsync(address, ServerCredentials.createInsecure(), (error, bound) => {
         if (error === null) resolve(bound);
         else {
-          const text = `the peers' address ${address} can't be listened on`;
+          const text = `cannot listen for peers on ${address}`;
           reject(new PeerListenError(text, { cause: error }));
         }
       });
     });
   }
 
-  /** What is wrong with a call's head; undefined if nothing. @internal */
-  private refuse(metadata: Metadata): CallError | undefined {
-    // A process that took over the address of one that ended must not act on what that one was told.
-    if (getText(metadata, TO_KEY) !== this.options.self) {
-      return { code: status.FAILED_PRECONDITION, details: NOT_THIS_MEMBER };
+  /** Reason to refuse a call, from its metadata and the handlers; undefined to accept. @internal */
+  private getRefusal(metadata: Metadata): CallError | undefined {
+    // A process that reuses the address of an earlier one must not act on messages for that one.
+    if (getMetadataText(metadata, TO_METADATA_KEY) !== this.options.self) {
+      return { code: status.FAILED_PRECONDITION, details: NOT_THIS_MEMBER_DETAILS };
     }
     if (this.onMessage === undefined || this.onForward === undefined) {
-      return { code: status.UNAVAILABLE, details: STARTING };
+      return { code: status.UNAVAILABLE, details: STARTING_DETAILS };
     }
-    if (getText(metadata, FROM_KEY) === '') {
-      return { code: status.INVALID_ARGUMENT, details: `the call has no ${FROM_KEY}` };
+    if (getMetadataText(metadata, FROM_METADATA_KEY) === '') {
+      return { code: status.INVALID_ARGUMENT, details: `the call has no ${FROM_METADATA_KEY}` };
     }
     return undefined;
   }
 
   /** @internal */
-  private takeMessages(call: ForwardedCall): void {
-    const refusal = this.refuse(call.metadata);
+  private handleMessages(call: IncomingPeerCall): void {
+    const refusal = this.getRefusal(call.metadata);
     if (refusal !== undefined) {
       call.emit('error', refusal);
       return;
     }
-    const from = getText(call.metadata, FROM_KEY);
+    const from = getMetadataText(call.metadata, FROM_METADATA_KEY);
     call.sendMetadata(new Metadata());
     call.on('data', (value: unknown) => {
       const message = checkPeerMessage(value);
@@ -126,9 +126,9 @@
   }
 
   /** @internal */
-  private takeForward(call: ForwardedCall): void {
-    const refusal = this.refuse(call.metadata);
+  private handleForward(call: IncomingPeerCall): void {
+    const refusal = this.getRefusal(call.metadata);
     if (refusal !== undefined) call.emit('error', refusal);
-    else this.onForward?.(getText(call.metadata, FROM_KEY), call);
+    else this.onForward?.(getMetadataText(call.metadata, FROM_METADATA_KEY), call);
   }
 }
--- a/src/peers/checks.ts
+++ b/src/peers/checks.ts
@@ -1,10 +1,10 @@
 import type { PeerMessage } from '../core/index.js';
 import type { AnswerFrame, ForwardFrame } from './forwardFrames.js';
 
-/** Whether a field of a message is what it should be. */
+/** Returns whether a value has the expected type or shape. */
 type Check = (value: unknown) => boolean;
 
-type Checks = Readonly<Record<string, Check>>;
+type CheckTable = Readonly<Record<string, Check>>;
 
 const isObject: Check = (value) =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
@@ -12,103 +12,103 @@
 const isNumber: Check = (value) => typeof value === 'number' && !Number.isNaN(value);
 const isBoolean: Check = (value) => typeof value === 'boolean';
 const isBytes: Check = (value) => value instanceof Uint8Array;
-const isList: Check = (value) => Array.isArray(value);
-const isTextList: Check = (value) => Array.isArray(value) && value.every(isString);
-const isEnd: Check = (value) => value === 'notRun' || isObject(value);
+const isArray: Check = (value) => Array.isArray(value);
+const isStringArray: Check = (value) => Array.isArray(value) && value.every(isString);
+const isKeyEnd: Check = (value) => value === 'notRun' || isObject(value);
 
-function optional(isFine: Check): Check {
-  return (value) => value === undefined || value === null || isFine(value);
+function optional(isValid: Check): Check {
+  return (value) => value === undefined || value === null || isValid(value);
 }
 
-function fields(checks: Checks): Check {
+function hasFields(checks: CheckTable): Check {
   return (value) => {
     if (!isObject(value)) return false;
     const record = value as Record<string, unknown>;
-    return Object.entries(checks).every(([name, isFine]) => isFine(record[name]));
+    return Object.entries(checks).every(([name, isValid]) => isValid(record[name]));
   };
 }
 
-function listOf(isFine: Check): Check {
-  return (value) => Array.isArray(value) && value.every(isFine);
+function isArrayOf(isValid: Check): Check {
+  return (value) => Array.isArray(value) && value.every(isValid);
 }
 
-const isSpare = fields({ service: isString, slots: isNumber, queued: isNumber });
-const isMember = fields({
+const isSpare = hasFields({ service: isString, slots: isNumber, queued: isNumber });
+const isMember = hasFields({
   id: isString,
   zone: isString,
   address: isString,
   peerAddress: isString,
 });
-const isAssignment = fields({
+const isAssignment = hasFields({
   epoch: isNumber,
-  members: listOf(isMember),
-  earlier: isList,
+  members: isArrayOf(isMember),
+  earlier: isArray,
   nonce: isString,
 });
-const isRoot = fields({
+const isRoot = hasFields({
   generation: isNumber,
-  zones: isList,
+  zones: isArray,
   services: isObject,
   nonce: isString,
 });
-const isServiceObject = fields({ hash: isString, service: fields({ name: isString }) });
+const isServiceObject = hasFields({ hash: isString, service: hasFields({ name: isString }) });
 
-/** What each peer message must have; a new kind of message does not compile without its check. */
+/** Required fields of each kind of peer message; a new kind does not compile without its check. */
 const MESSAGE_CHECKS: Readonly<Record<PeerMessage['kind'], Check>> = {
-  heartbeat: fields({
+  heartbeat: hasFields({
     appliedEpoch: isNumber,
     generation: isNumber,
     leaseRemainingMs: isNumber,
     leaseVersion: isNumber,
     leaving: isBoolean,
-    spares: listOf(isSpare),
+    spares: isArrayOf(isSpare),
     sequence: isNumber,
     echo: isNumber,
     confirmedAgoMs: isNumber,
   }),
-  hello: fields({ member: isMember }),
-  spare: fields({ spare: isSpare }),
-  assignmentTold: fields({ assignment: isAssignment }),
-  assignmentHeard: fields({ epoch: isNumber, confirmations: isList }),
-  lapsesTold: fields({ before: isNumber, lapses: isList }),
-  confirmAsked: fields({ epoch: isNumber, round: isNumber }),
-  confirmAnswered: fields({
+  hello: hasFields({ member: isMember }),
+  spare: hasFields({ spare: isSpare }),
+  assignmentTold: hasFields({ assignment: isAssignment }),
+  assignmentHeard: hasFields({ epoch: isNumber, confirmations: isArray }),
+  lapsesTold: hasFields({ before: isNumber, lapses: isArray }),
+  confirmAsked: hasFields({ epoch: isNumber, round: isNumber }),
+  confirmAnswered: hasFields({
     knownEpoch: isNumber,
     round: isNumber,
     generation: isNumber,
     knownGeneration: isNumber,
   }),
-  handover: fields({
+  handover: hasFields({
     epoch: isNumber,
-    targets: listOf(
-      fields({ target: isString, phase: isString, limit: isNumber, outstanding: isNumber }),
+    targets: isArrayOf(
+      hasFields({ target: isString, phase: isString, limit: isNumber, outstanding: isNumber }),
     ),
   }),
-  handoverDrained: fields({ target: isString, outstanding: isNumber }),
-  configurationAsked: fields({
+  handoverDrained: hasFields({ target: isString, outstanding: isNumber }),
+  configurationAsked: hasFields({
     have: isNumber,
-    services: listOf(fields({ name: isString, hash: isString })),
+    services: isArrayOf(hasFields({ name: isString, hash: isString })),
   }),
-  configurationTold: fields({ root: optional(isRoot), services: listOf(isServiceObject) }),
-  keyClaimAsked: fields({
+  configurationTold: hasFields({ root: optional(isRoot), services: isArrayOf(isServiceObject) }),
+  keyClaimAsked: hasFields({
     claim: isNumber,
     service: isString,
     key: isString,
     fingerprint: isString,
     retentionMs: isNumber,
   }),
-  keyClaimAnswered: fields({ claim: isNumber, result: fields({ kind: isString }) }),
-  keyEnded: fields({
+  keyClaimAnswered: hasFields({ claim: isNumber, result: hasFields({ kind: isString }) }),
+  keyEnded: hasFields({
     claim: isNumber,
     service: isString,
     key: isString,
     fingerprint: isString,
-    end: isEnd,
+    end: isKeyEnd,
   }),
-  keyEndHeard: fields({ claim: isNumber }),
-  suspectsTold: fields({
-    suspects: listOf(
-      fields({
+  keyEndHeard: hasFields({ claim: isNumber }),
+  suspectsTold: hasFields({
+    suspects: isArrayOf(
+      hasFields({
         service: isString,
         fingerprint: isString,
         crashes: isNumber,
@@ -120,26 +120,26 @@
 };
 
 const FORWARD_CHECKS: Readonly<Record<ForwardFrame['kind'], Check>> = {
-  head: fields({
+  head: hasFields({
     service: isString,
     caller: isString,
     fingerprint: isString,
     key: optional(isString),
     method: isString,
     path: isString,
-    headers: isTextList,
+    headers: isStringArray,
     remainingMs: isNumber,
     contentLength: optional(isNumber),
     body: optional(isBytes),
   }),
-  body: fields({ data: isBytes }),
+  body: hasFields({ data: isBytes }),
   end: () => true,
 };
 
 const ANSWER_CHECKS: Readonly<Record<AnswerFrame['kind'], Check>> = {
-  answer: fields({
+  answer: hasFields({
     status: isNumber,
-    headers: isTextList,
+    headers: isStringArray,
     contentType: optional(isString),
     endsWithConnection: isBoolean,
     ownOutcome: optional(isString),
@@ -148,11 +148,11 @@
     target: optional(isString),
     zone: optional(isString),
   }),
-  body: fields({ data: isBytes }),
-  end: fields({ whole: isBoolean }),
+  body: hasFields({ data: isBytes }),
+  end: hasFields({ whole: isBoolean }),
 };
 
-function check<T>(checks: Checks, value: unknown): T | undefined {
+function checkByKind<T>(checks: CheckTable, value: unknown): T | undefined {
   if (!isObject(value)) return undefined;
   const { kind } = value as { kind?: unknown };
   if (typeof kind !== 'string' || !Object.hasOwn(checks, kind)) return undefined;
@@ -160,25 +160,28 @@
 }
 
 /**
- * A value as a peer message; undefined if it is none.
- * @param value - What was decoded.
+ * Returns a decoded value as a peer message, or undefined if its kind is unknown or a field is
+ * missing or has the wrong type.
+ * @param value - The decoded value.
  */
 export function checkPeerMessage(value: unknown): PeerMessage | undefined {
-  return check<PeerMessage>(MESSAGE_CHECKS, value);
+  return checkByKind<PeerMessage>(MESSAGE_CHECKS, value);
 }
 
 /**
- * A value as a frame of a forwarded request; undefined if it is none.
- * @param value - What was decoded.
+ * Returns a decoded value as a frame of a forwarded request, or undefined if its kind is unknown or
+ * a field is missing or has the wrong type.
+ * @param value - The decoded value.
  */
 export function checkForwardFrame(value: unknown): ForwardFrame | undefined {
-  return check<ForwardFrame>(FORWARD_CHECKS, value);
+  return checkByKind<ForwardFrame>(FORWARD_CHECKS, value);
 }
 
 /**
- * A value as a frame of a forwarded request's answer; undefined if it is none.
- * @param value - What was decoded.
+ * Returns a decoded value as a frame of the answer to a forwarded request, or undefined if its kind
+ * is unknown or a field is missing or has the wrong type.
+ * @param value - The decoded value.
  */
 export function checkAnswerFrame(value: unknown): AnswerFrame | undefined {
-  return check<AnswerFrame>(ANSWER_CHECKS, value);
+  return checkByKind<AnswerFrame>(ANSWER_CHECKS, value);
 }
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -1,22 +1,22 @@
 import { decode, encode } from '@msgpack/msgpack';
 
-/** What `readFrame` gives for bytes that are no message at all; every check refuses it. */
+/** Result of `decodeMessage` for bytes that are not MessagePack; every check rejects its kind. */
 const NOT_A_MESSAGE = { kind: 'notAMessage' } as const;
 
 /**
- * A message as bytes.
+ * Encodes a message as MessagePack; fields that are undefined are left out.
  * @param message - Plain data.
  */
-export function writeFrame(message: unknown): Buffer {
+export function encodeMessage(message: unknown): Buffer {
   const bytes = encode(message, { ignoreUndefined: true });
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
 /**
- * Bytes as plain data; nothing is known of its shape yet.
- * @param bytes - What came.
+ * Decodes MessagePack to plain data, whose shape still has to be checked. Does not throw.
+ * @param bytes - The received bytes.
  */
-export function readFrame(bytes: Buffer): unknown {
+export function decodeMessage(bytes: Buffer): unknown {
   try {
     return decode(bytes);
   } catch {
--- a/src/peers/errors.ts
+++ b/src/peers/errors.ts
@@ -1,7 +1,7 @@
 import ModernError from 'modern-errors';
 
-/** Anything that goes wrong between entry VMs. */
+/** Base class of errors in the communication between entry VMs. */
 export const PeerError = ModernError.subclass('PeerError');
 
-/** The address for peers can't be listened on. */
+/** The server for calls of other entry VMs could not bind its address. */
 export const PeerListenError = PeerError.subclass('PeerListenError');
--- a/src/peers/failures.ts
+++ b/src/peers/failures.ts
@@ -1,33 +1,34 @@
 import type { ServiceError } from '@grpc/grpc-js';
 import { status } from '@grpc/grpc-js';
 
-import { NOT_THIS_MEMBER, STARTING } from './peerService.js';
+import { NOT_THIS_MEMBER_DETAILS, STARTING_DETAILS } from './peerService.js';
 
-/** Text that grpc-js begins the error of a call with that never found a connection. */
-const NO_CONNECTION = 'No connection established';
+/** Start of the details that grpc-js gives the error of a call that never got a connection. */
+const NO_CONNECTION_PREFIX = 'No connection established';
 
-function isOtherMember(error: ServiceError): boolean {
-  return error.code === status.FAILED_PRECONDITION && error.details === NOT_THIS_MEMBER;
+function isNotThisMemberError(error: ServiceError): boolean {
+  return error.code === status.FAILED_PRECONDITION && error.details === NOT_THIS_MEMBER_DETAILS;
 }
 
 /**
- * Whether a call proves that the member's process has ended: its machine refused the connection,
- * or another process answers at its address. Anything else, a timeout above all, may be a process
- * that is paused or cut off and that still believes it may act.
+ * Whether an error proves that the member's process has ended: its machine refused the connection,
+ * or another process answers at its address. With any other error, a timeout above all, the process
+ * may be paused or partitioned and still believe that it drives its targets.
  * @param error - The call's error.
  */
 export function provesProcessEnded(error: ServiceError): boolean {
-  if (isOtherMember(error)) return true;
+  if (isNotThisMemberError(error)) return true;
   if (error.code !== status.UNAVAILABLE) return false;
-  return error.details.startsWith(NO_CONNECTION) && error.details.includes('ECONNREFUSED');
+  return error.details.startsWith(NO_CONNECTION_PREFIX) && error.details.includes('ECONNREFUSED');
 }
 
 /**
- * Whether a call provably never reached the member.
+ * Whether an error proves that the member did not take the call: there was no connection, or the
+ * member refused the call.
  * @param error - The call's error.
  */
 export function provesNotDelivered(error: ServiceError): boolean {
-  if (isOtherMember(error) || error.code === status.INVALID_ARGUMENT) return true;
+  if (isNotThisMemberError(error) || error.code === status.INVALID_ARGUMENT) return true;
   if (error.code !== status.UNAVAILABLE) return false;
-  return error.details.startsWith(NO_CONNECTION) || error.details === STARTING;
+  return error.details.startsWith(NO_CONNECTION_PREFIX) || error.details === STARTING_DETAILS;
 }
--- a/src/peers/forwardFrames.ts
+++ b/src/peers/forwardFrames.ts
@@ -1,6 +1,6 @@
 import type { LocalOutcome, ServiceSpare } from '../core/index.js';
 
-/** The head of a forwarded request. */
+/** First frame of a forwarded request. */
 export interface ForwardHead {
   readonly kind: 'head';
   readonly service: string;
@@ -10,49 +10,49 @@
   readonly method: string;
   readonly path: string;
   readonly headers: readonly string[];
-  /** Time left until the deadline, in milliseconds: the clocks of two VMs can't be compared. */
+  /** Time left until the deadline, in milliseconds; the clocks of two VMs can't be compared. */
   readonly remainingMs: number;
   readonly contentLength?: number;
-  /** The whole body, if it is there already; no body frames follow then. */
+  /** The whole body, if it has been read already; no body frames follow then. */
   readonly body?: Uint8Array;
 }
 
-/** A piece of a body. */
+/** A chunk of the body of a request or an answer. */
 export interface BodyFrame {
   readonly kind: 'body';
   readonly data: Uint8Array;
 }
 
-/** The end of a request's body. */
-export interface BodyEnd {
+/** Last frame of a request whose body is sent in body frames. */
+export interface RequestBodyEnd {
   readonly kind: 'end';
 }
 
-/** The head of an answer. */
-export interface ForwardAnswer {
+/** First frame of the answer to a forwarded request. */
+export interface ForwardAnswerHead {
   readonly kind: 'answer';
   readonly status: number;
   readonly headers: readonly string[];
   readonly contentType?: string;
   readonly endsWithConnection: boolean;
-  /** Set if the peer made the answer itself. */
+  /** Set if the peer produced the answer itself, without one from a target. */
   readonly ownOutcome?: LocalOutcome;
   readonly retryAfterMs?: number;
   readonly spare?: ServiceSpare;
-  /** The target that answered, and its zone; absent if the peer made the answer itself. */
+  /** Target that answered, and its zone; both absent if the peer produced the answer itself. */
   readonly target?: string;
   readonly zone?: string;
 }
 
-/** The end of an answer, or its breaking off. */
+/** Last frame of an answer, complete or not. */
 export interface AnswerEnd {
   readonly kind: 'end';
-  /** False if the answer stopped short. */
+  /** False if the answer was cut short. */
   readonly whole: boolean;
 }
 
-/** From the origin to the peer. */
-export type ForwardFrame = ForwardHead | BodyFrame | BodyEnd;
+/** Frames that the forwarding entry VM sends to the peer. */
+export type ForwardFrame = ForwardHead | BodyFrame | RequestBodyEnd;
 
-/** From the peer to the origin. */
-export type AnswerFrame = ForwardAnswer | BodyFrame | AnswerEnd;
+/** Frames that the peer sends back to the forwarding entry VM. */
+export type AnswerFrame = ForwardAnswerHead | BodyFrame | AnswerEnd;
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -4,13 +4,13 @@
 export type {
   AnswerEnd,
   AnswerFrame,
-  BodyEnd,
+  RequestBodyEnd,
   BodyFrame,
-  ForwardAnswer,
+  ForwardAnswerHead,
   ForwardFrame,
   ForwardHead,
 } from './forwardFrames.js';
 export { PeerClient } from './PeerClient.js';
-export type { ForwardCall, PeerClientOptions } from './PeerClient.js';
+export type { OutgoingPeerCall, PeerClientOptions } from './PeerClient.js';
 export { PeerServer } from './PeerServer.js';
-export type { ForwardedCall, PeerServerOptions } from './PeerServer.js';
+export type { IncomingPeerCall, PeerServerOptions } from './PeerServer.js';
--- a/src/peers/peerService.ts
+++ b/src/peers/peerService.ts
@@ -1,39 +1,48 @@
 import type { MethodDefinition, ServiceDefinition } from '@grpc/grpc-js';
 
-import { readFrame, writeFrame } from './codec.js';
+import { decodeMessage, encodeMessage } from './codec.js';
 
-function method(name: string): MethodDefinition<unknown, unknown> {
+function defineMethod(name: string): MethodDefinition<unknown, unknown> {
   return {
     path: `/masticlink.Peer/${name}`,
     requestStream: true,
     responseStream: true,
-    requestSerialize: writeFrame,
-    requestDeserialize: readFrame,
-    responseSerialize: writeFrame,
-    responseDeserialize: readFrame,
+    requestSerialize: encodeMessage,
+    requestDeserialize: decodeMessage,
+    responseSerialize: encodeMessage,
+    responseDeserialize: decodeMessage,
   };
 }
 
-/** One-way messages, all over one long call: a call for each would cost far more than most say. */
-export const MESSAGES = method('Messages');
+/**
+ * One-way messages, all over one long-lived call: a call for each message would cost far more than
+ * most messages are worth.
+ */
+export const MESSAGES_METHOD = defineMethod('Messages');
 
-/** Forwarded requests and their answers. */
-export const FORWARD = method('Forward');
+/** Forwarded requests and their answers, one call for each request. */
+export const FORWARD_METHOD = defineMethod('Forward');
 
-/** What every entry VM offers to the others; messages are MessagePack, checked on arrival. */
-export const PEER_SERVICE: ServiceDefinition = { messages: MESSAGES, forward: FORWARD };
+/** gRPC service of every entry VM for the others; messages are MessagePack, checked on arrival. */
+export const PEER_SERVICE: ServiceDefinition = {
+  messages: MESSAGES_METHOD,
+  forward: FORWARD_METHOD,
+};
 
-/** Metadata: the member that a call is meant for. */
-export const TO_KEY = 'masticlink-to';
+/** Metadata key for the id of the member that a call is addressed to. */
+export const TO_METADATA_KEY = 'masticlink-to';
 
-/** Metadata: the member that calls. */
-export const FROM_KEY = 'masticlink-from';
+/** Metadata key for the id of the calling member. */
+export const FROM_METADATA_KEY = 'masticlink-from';
 
-/** How a process refuses what is meant for an earlier process at its address. */
-export const NOT_THIS_MEMBER = 'not this member';
+/** Status details for refusing a call meant for an earlier process at the same address. */
+export const NOT_THIS_MEMBER_DETAILS = 'not this member';
 
-/** How a process refuses what comes before it can take it. */
-export const STARTING = 'the entry VM is starting';
+/** Status details for refusing a call that arrives before the process can handle it. */
+export const STARTING_DETAILS = 'the entry VM is starting';
 
-/** A forwarded body chunk and a heartbeat of a large fleet stay far below this, in bytes. */
+/**
+ * Largest accepted message, in bytes. Forwarded body chunks and heartbeats of a large fleet stay
+ * far below it.
+ */
 export const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
