--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -8,55 +8,59 @@
 import { SystemClock, TimerService } from '../timing/index.js';
 import { VmListClient } from '../vms/index.js';
 import { CallerServer } from './api/CallerServer.js';
-import type { OwnPages } from './api/createOwnPages.js';
-import { createOwnPages } from './api/createOwnPages.js';
-import { Attempts } from './attempts/Attempts.js';
+import type { ProcessApi } from './api/createProcessApi.js';
+import { createProcessApi } from './api/createProcessApi.js';
+import { AttemptRunner } from './attempts/AttemptRunner.js';
 import { ForwardAttempt } from './attempts/ForwardAttempt.js';
 import { TargetPools } from './attempts/TargetPools.js';
 import type { EffectParts } from './effectRunners.js';
 import { runEffect } from './effectRunners.js';
-import { CallerGate } from './exchange/CallerGate.js';
+import { CallerRequestHandler } from './exchange/CallerRequestHandler.js';
 import { Exchanges } from './exchange/Exchanges.js';
-import { PeerGate } from './exchange/PeerGate.js';
+import { PeerRequestHandler } from './exchange/PeerRequestHandler.js';
 import { ServiceFinder } from './exchange/ServiceFinder.js';
-import { Loop } from './Loop.js';
+import { EventLoop } from './EventLoop.js';
 import { EntryMetrics } from './metrics/EntryMetrics.js';
 import { ServiceLevels } from './metrics/ServiceLevels.js';
-import { Prober } from './Prober.js';
+import { HealthProber } from './HealthProber.js';
 
-/** What a test or a demo may put in place of the process's own. */
+/** Replacements for the process's own clock and logger, for tests and demos. */
 export interface EntryOptions {
   readonly clock?: Clock;
   readonly logger?: Logger;
 }
 
-/** How often channels that went unused are looked for, in milliseconds. */
-const IDLE_CHANNELS_MS = 10_000;
+/** Interval between checks for idle channels to other entry VMs, in milliseconds. */
+const IDLE_CHANNEL_CHECK_INTERVAL_MS = 10_000;
 
-/** How long requests that are in sockets already are waited for at a planned stop. */
-const LAST_REQUESTS_MS = 200;
+/**
+ * Time at the exit for reading requests that have already arrived in socket buffers, in
+ * milliseconds.
+ */
+const UNREAD_REQUESTS_WAIT_MS = 200;
 
-/** How long the last answers may take to reach their callers at a planned stop. */
-const LAST_ANSWERS_MS = 5_000;
+/** Time limit for answering the requests that are still open at the exit, in milliseconds. */
+const DRAIN_TIMEOUT_MS = 5_000;
 
-/** How long storing the last service-level counts may take. */
-const LAST_FLUSH_MS = 1_000;
+/** Time limit at the exit for storing the remaining service-level counts, in milliseconds. */
+const FINAL_FLUSH_TIMEOUT_MS = 1_000;
 
-const POLL_MS = 5;
+/** Interval between checks whether open requests have been answered, in milliseconds. */
+const DRAIN_POLL_MS = 5;
 
-/** Least time between two rounds of periodic jobs while requests are here, and while none are. */
-const BUSY_GAP_MS = 5;
-const IDLE_GAP_MS = 20;
+/** Minimum time between two rounds of periodic jobs while requests are open, and while none are. */
+const BUSY_MIN_JOB_INTERVAL_MS = 5;
+const IDLE_MIN_JOB_INTERVAL_MS = 20;
 
-const SILENT: Logger = { debug() {}, info() {}, warn() {}, error() {} };
+const NOOP_LOGGER: Logger = { debug() {}, info() {}, warn() {}, error() {} };
 
-/** What the process listens with. */
+/** The servers that the process listens with. */
 interface Servers {
   readonly callers: CallerServer;
   readonly peers: PeerServer;
 }
 
-async function listen({ core, bounds, ...settings }: EntrySettings): Promise<Servers> {
+async function startServers({ core, bounds, ...settings }: EntrySettings): Promise<Servers> {
   const peers = await PeerServer.start({ self: core.self.id, ...settings.peerListen });
   const callers = await CallerServer.listen({
     listen: settings.listen,
@@ -66,15 +70,15 @@
   return { callers, peers };
 }
 
-/** Puts the ports that the system chose where the settings leave them open by port 0. */
-function withBoundAddresses(settings: EntrySettings, servers: Servers): EntrySettings {
+/** Replaces port 0 in the advertised addresses with the port that the operating system assigned. */
+function resolveBoundAddresses(settings: EntrySettings, servers: Servers): EntrySettings {
   const self = { ...settings.core.self };
   if (settings.listen.port === 0) self.address = servers.callers.address;
   if (settings.peerListen.port === 0) self.peerAddress = servers.peers.address;
   return { ...settings, core: { ...settings.core, self } };
 }
 
-/** One entry process: what every entry VM runs. */
+/** The entry process, which runs on every entry VM. */
 export class EntryProcess {
   /** @internal */
   private readonly timers: TimerService;
@@ -83,7 +87,7 @@
   private readonly exchanges = new Exchanges();
 
   /** @internal */
-  private readonly loop: Loop;
+  private readonly eventLoop: EventLoop;
 
   /** @internal */
   private readonly pools: TargetPools;
@@ -95,29 +99,29 @@
   private readonly peers: PeerClient;
 
   /** @internal */
-  private readonly callerGate: CallerGate;
+  private readonly callerRequestHandler: CallerRequestHandler;
 
   /** @internal */
   private readonly metrics: EntryMetrics;
 
   /** @internal */
-  private readonly levels: ServiceLevels;
+  private readonly serviceLevels: ServiceLevels;
 
   /** @internal */
-  private ownPages: OwnPages | undefined;
+  private processApi: ProcessApi | undefined;
 
   /** @internal */
   private signalExit: () => void = () => {};
 
   /** @internal */
-  private readonly exited = new Promise<void>((resolve) => {
+  private readonly exitRequested = new Promise<void>((resolve) => {
     this.signalExit = resolve;
   });
 
   /** @internal */
-  private closing: Promise<void> | undefined;
+  private closePromise: Promise<void> | undefined;
 
-  /** What the process knows; for tests and reports, read only. */
+  /** The state of the core. Read-only; for tests and reports. */
   readonly state: EntryState;
 
   /** @internal */
@@ -129,7 +133,7 @@
   ) {
     this.state = createEntryState(settings.core, clock.now());
     this.timers = new TimerService(clock, () =>
-      this.exchanges.size > 0 ? BUSY_GAP_MS : IDLE_GAP_MS,
+      this.exchanges.size > 0 ? BUSY_MIN_JOB_INTERVAL_MS : IDLE_MIN_JOB_INTERVAL_MS,
     );
     const context = {
       get now() {
@@ -137,8 +141,10 @@
       },
       random: Math.random,
     };
-    this.loop = new Loop(this.state, context, (effect) => runEffect(effect, this.effectParts));
-    const { dispatch } = this.loop;
+    this.eventLoop = new EventLoop(this.state, context, (effect) =>
+      runEffect(effect, this.effectParts),
+    );
+    const { dispatch } = this.eventLoop;
     this.pools = new TargetPools(dispatch);
     this.store = new StoreClient({ url: settings.storeUrl, timeoutMs: settings.storeTimeoutMs });
     this.peers = new PeerClient({
@@ -147,15 +153,15 @@
     });
     this.metrics = new EntryMetrics(this.state, () => clock.now());
     const { exchanges, state, store, metrics } = this;
-    this.levels = new ServiceLevels({ state, store, metrics, logger });
+    this.serviceLevels = new ServiceLevels({ state, store, metrics, logger });
     const finder = new ServiceFinder(this.state);
-    this.callerGate = new CallerGate({
+    this.callerRequestHandler = new CallerRequestHandler({
       clock,
       bounds: settings.bounds,
       exchanges,
       finder,
       dispatch,
-      onEnded: (exchange, milliseconds) => this.levels.record(exchange, milliseconds),
+      onEnded: (exchange, milliseconds) => this.serviceLevels.record(exchange, milliseconds),
     });
     this.effectParts = this.createEffectParts();
   }
@@ -164,55 +170,56 @@
   private readonly effectParts: EffectParts;
 
   /**
-   * Starts a process; resolves once it listens.
-   * @param settings - Its checked settings. Port 0 takes any free port.
-   * @param options - What to put in place of the process's own clock and logger.
+   * Starts a process; resolves once it accepts requests.
+   * @param settings - Validated settings. Port 0 selects any free port.
+   * @param options - Replacements for the process's own clock and logger.
    * @example
    * const entry = await EntryProcess.start(settings, { logger });
    */
   static async start(settings: EntrySettings, options: EntryOptions = {}): Promise<EntryProcess> {
-    const servers = await listen(settings);
+    const servers = await startServers(settings);
     const entry = new EntryProcess(
-      withBoundAddresses(settings, servers),
+      resolveBoundAddresses(settings, servers),
       options.clock ?? new SystemClock(),
-      options.logger ?? SILENT,
+      options.logger ?? NOOP_LOGGER,
       servers,
     );
     await entry.serve();
     return entry;
   }
 
-  /** Where callers connect: IP number and port. */
+  /** Address that callers connect to, as `IP:port`. */
   get address(): string {
     return this.servers.callers.address;
   }
 
-  /** Where other entry VMs connect: IP number and port. */
+  /** Address that other entry VMs connect to, as `IP:port`. */
   get peerAddress(): string {
     return this.servers.peers.address;
   }
 
-  /** Resolves once the process has ended all its work, after `stop` or at the core's wish. */
+  /** Resolves once the process has shut down, after `stop` or an `exit` effect of the core. */
   async waitForExit(): Promise<void> {
-    await this.exited;
-    await this.finish();
+    await this.exitRequested;
+    await this.drainRequests();
     await this.close();
   }
 
   /**
-   * Stops gracefully: takes itself out of the address answers, serves until those have run out,
-   * ends every request, hands its targets over. Cuts nothing.
+   * Stops gracefully: removes itself from the address lists that callers get, serves requests until
+   * the lists handed out earlier have expired, completes the open requests without aborting any,
+   * and hands its targets over.
    * @example
    * process.once('SIGTERM', () => entry.stop());
    */
   async stop(): Promise<void> {
-    this.logger.info('entry', 'a planned stop begins');
+    this.logger.info('entry', 'planned stop started');
     this.servers.callers.endKeepAlive();
-    this.loop.dispatch({ kind: 'stopAsked' });
+    this.eventLoop.dispatch({ kind: 'stopAsked' });
     await this.waitForExit();
   }
 
-  /** Ends at once, as if the VM had failed; for tests. */
+  /** Closes everything immediately, as if the VM had failed; for tests. */
   async kill(): Promise<void> {
     this.signalExit();
     await this.close();
@@ -221,60 +228,70 @@
   /** @internal */
   private async serve(): Promise<void> {
     const { settings, clock, exchanges, state, metrics, servers } = this;
-    const { dispatch } = this.loop;
+    const { dispatch } = this.eventLoop;
     const { bounds, adminToken } = settings;
-    const peerGate = new PeerGate({ state, clock, bounds, exchanges, dispatch });
+    const peerRequestHandler = new PeerRequestHandler({
+      state,
+      clock,
+      bounds,
+      exchanges,
+      dispatch,
+    });
     servers.peers.onMessage = (from, message) =>
       dispatch({ kind: 'peerMessageArrived', from, message });
-    servers.peers.onForward = (from, call) => peerGate.accept(from, call);
-    const ownPages = await createOwnPages({ state, clock, metrics, adminToken, dispatch });
-    this.ownPages = ownPages;
-    servers.callers.handle = (req, res, awaitsContinue, heldMs) => {
-      if (this.callerGate.accept(req, res, awaitsContinue, heldMs)) return;
-      if (awaitsContinue) res.writeContinue();
-      ownPages.handler(req, res);
+    servers.peers.onForward = (from, call) => peerRequestHandler.accept(from, call);
+    const processApi = await createProcessApi({ state, clock, metrics, adminToken, dispatch });
+    this.processApi = processApi;
+    servers.callers.handle = (req, res, hasExpectContinue, queuedMs) => {
+      if (this.callerRequestHandler.accept(req, res, hasExpectContinue, queuedMs)) return;
+      if (hasExpectContinue) res.writeContinue();
+      processApi.handler(req, res);
     };
     this.startJobs();
-    this.logger.info('entry', `${settings.core.self.id} takes callers at ${this.address}`);
+    this.logger.info('entry', `${settings.core.self.id} accepts callers at ${this.address}`);
   }
 
   /** @internal */
   private startJobs(): void {
     for (const [job, periodMs] of Object.entries(JOB_PERIODS_MS)) {
       this.timers.subscribe(periodMs, () =>
-        this.loop.dispatch({ kind: 'jobDue', job: job as PeriodicJob }),
+        this.eventLoop.dispatch({ kind: 'jobDue', job: job as PeriodicJob }),
       );
     }
     const vmList = new VmListClient(this.settings.vmListUrl);
     const readVmList = (): void => {
       vmList
         .read()
-        .then((vms) => this.loop.dispatch({ kind: 'vmListRead', vms }))
+        .then((vms) => this.eventLoop.dispatch({ kind: 'vmListRead', vms }))
         .catch((error: Error) => this.logger.warn('entry', error.message));
     };
     readVmList();
     this.timers.subscribe(this.settings.vmListPeriodMs, readVmList);
-    this.levels.subscribe(this.timers);
-    this.timers.subscribe(IDLE_CHANNELS_MS, () => this.peers.closeIdleChannels());
+    this.serviceLevels.scheduleFlushes(this.timers);
+    this.timers.subscribe(IDLE_CHANNEL_CHECK_INTERVAL_MS, () => this.peers.closeIdleChannels());
   }
 
   /**
-   * Ends what came until the last moment. Requests may lie unread in sockets, above all if the
-   * process was paused just before the core let it exit: closing them at once would cut them.
+   * Completes the requests that arrived before the exit. Requests may still be unread in socket
+   * buffers, above all if the process was paused just before the core allowed it to exit. Closing
+   * the sockets immediately would abort those requests.
    * @internal
    */
-  private async finish(): Promise<void> {
+  private async drainRequests(): Promise<void> {
     const { callers } = this.servers;
-    if (this.closing !== undefined) return;
+    if (this.closePromise !== undefined) return;
     callers.stopListening();
-    const endsBy = this.clock.now() + LAST_ANSWERS_MS;
-    await this.wait(LAST_REQUESTS_MS);
-    while (this.exchanges.size > 0 && this.clock.now() < endsBy) await this.wait(POLL_MS);
-    await Promise.race([this.levels.flush().catch(() => {}), this.wait(LAST_FLUSH_MS)]);
+    const endsAt = this.clock.now() + DRAIN_TIMEOUT_MS;
+    await this.delay(UNREAD_REQUESTS_WAIT_MS);
+    while (this.exchanges.size > 0 && this.clock.now() < endsAt) await this.delay(DRAIN_POLL_MS);
+    await Promise.race([
+      this.serviceLevels.flush().catch(() => {}),
+      this.delay(FINAL_FLUSH_TIMEOUT_MS),
+    ]);
   }
 
   /** @internal */
-  private wait(milliseconds: number): Promise<void> {
+  private delay(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       this.clock.after(milliseconds, resolve);
     });
@@ -282,27 +299,27 @@
 
   /** @internal */
   private createEffectParts(): EffectParts {
-    const { clock, exchanges, pools, peers, loop, settings, state } = this;
-    const { dispatch } = loop;
-    const attempts = new Attempts({
+    const { clock, exchanges, pools, peers, eventLoop, settings, state } = this;
+    const { dispatch } = eventLoop;
+    const attempts = new AttemptRunner({
       clock,
       exchanges,
       pools,
       dispatch,
       storedAnswerBytes: settings.bounds.storedAnswerBytes,
-      createForward: ({ peer, peerAddress, ...parts }) =>
-        new ForwardAttempt({ ...parts, open: () => peers.forward(peer, peerAddress) }),
-      onBodyTooLarge: (request) => this.callerGate.refuseLargeBody(request),
+      createForwardAttempt: ({ peer, peerAddress, ...parts }) =>
+        new ForwardAttempt({ ...parts, openCall: () => peers.forward(peer, peerAddress) }),
+      onBodyTooLarge: (request) => this.callerRequestHandler.refuseLargeBody(request),
       onEnded: (to, milliseconds) => this.metrics.observeAttempt(to, milliseconds),
       state,
     });
     return {
-      loop,
+      eventLoop,
       attempts,
       exchanges,
       pools,
       peers,
-      prober: new Prober(pools, (target) => canSendTo(state, target, clock.now()), dispatch),
+      prober: new HealthProber(pools, (target) => canSendTo(state, target, clock.now()), dispatch),
       store: this.store,
       metrics: this.metrics,
       logger: this.logger,
@@ -312,8 +329,8 @@
 
   /** @internal */
   private close(): Promise<void> {
-    this.closing ??= this.closeParts();
-    return this.closing;
+    this.closePromise ??= this.closeParts();
+    return this.closePromise;
   }
 
   /** @internal */
@@ -321,7 +338,7 @@
     this.timers.stop();
     this.servers.callers.destroy();
     this.servers.peers.close();
-    await this.ownPages?.close();
+    await this.processApi?.close();
     this.peers.close();
     await this.pools.destroy();
     await this.store.close();
--- a/src/entry/Prober.ts
+++ b/src/entry/HealthProber.ts
@@ -5,26 +5,27 @@
 
 type ProbeEffect = Extract<Effect, { kind: 'probe' }>;
 
-/** Asks targets how they are, over the same connections as requests. */
-export class Prober {
+/** Sends health probes to targets over the connection pools that requests use. */
+export class HealthProber {
   /**
-   * @param pools - Connections to targets.
-   * @param maySend - Whether a target may be sent to now; asked just before the first byte.
-   * @param dispatch - Told how each probe ended.
+   * @param pools - Connection pools of the targets.
+   * @param canSend - Whether this process may send to a target now; checked just before the first
+   * byte of a probe is written.
+   * @param dispatch - Receives the result of each probe.
    */
   constructor(
     private readonly pools: TargetPools,
-    private readonly maySend: (target: TargetId) => boolean,
+    private readonly canSend: (target: TargetId) => boolean,
     private readonly dispatch: (event: CoreEvent) => void,
   ) {}
 
   /**
    * Sends one probe.
-   * @param effect - Which target, and what to ask.
+   * @param effect - Target, path and timeout of the probe.
    */
   probe(effect: ProbeEffect): void {
     const { target, address, path, timeoutMs } = effect;
-    let wasWritten = false;
+    let hasStartedWriting = false;
     let abort: (() => void) | undefined;
     let timer: NodeJS.Timeout | undefined;
     let result: Omit<ProbeEnded, 'kind' | 'target'> | undefined;
@@ -36,16 +37,16 @@
       this.dispatch({ kind: 'probeEnded', target, ...ended });
     };
     timer = setTimeout(() => {
-      finish({ end: wasWritten ? 'timedOut' : 'notSent' });
+      finish({ end: hasStartedWriting ? 'timedOut' : 'notSent' });
       abort?.();
     }, timeoutMs);
     this.pools.get(target, address).dispatch(
       { method: 'GET', path, headersTimeout: 0, bodyTimeout: 0 },
       {
-        onConnect: (stop) => {
-          abort = stop;
-          if (hasEnded || wasWritten || !this.maySend(target)) stop();
-          else wasWritten = true;
+        onConnect: (abortProbe) => {
+          abort = abortProbe;
+          if (hasEnded || hasStartedWriting || !this.canSend(target)) abortProbe();
+          else hasStartedWriting = true;
         },
         onHeaders: (status, raw) => {
           if (status < 200) return true;
@@ -56,7 +57,7 @@
         },
         onData: () => true,
         onComplete: () => finish(result ?? { end: 'reset' }),
-        onError: () => finish({ end: wasWritten ? 'reset' : 'notSent' }),
+        onError: () => finish({ end: hasStartedWriting ? 'reset' : 'notSent' }),
       },
     );
   }
--- a/src/entry/api/AdminController.ts
+++ b/src/entry/api/AdminController.ts
@@ -10,38 +10,41 @@
 } from '@nestjs/common';
 
 import { AdminGuard } from './AdminGuard.js';
-import type { FleetView, ServiceView, TargetView } from './adminViews.js';
-import { viewFleet, viewServices, viewTargets } from './adminViews.js';
+import type { FleetSummary, ServiceSummary, TargetSummary } from './adminViews.js';
+import { summarizeFleet, summarizeServices, summarizeTargets } from './adminViews.js';
 import type { ApiParts } from './ApiParts.js';
 import { API_PARTS } from './ApiParts.js';
 import { readPushedConfiguration } from './readPushedConfiguration.js';
 
-/** The administration API: everything by token, and read-only but for a publication. */
+/**
+ * The administration API. Every request needs the administration token; only the publication of a
+ * configuration changes state.
+ */
 @Controller('v1/admin')
 @UseGuards(AdminGuard)
 export class AdminController {
   /** @param parts - The process's state. */
   constructor(@Inject(API_PARTS) private readonly parts: ApiParts) {}
 
-  /** The fleet as this process knows it. */
+  /** Gets the fleet as this process sees it. */
   @Get('fleet')
-  getFleet(): FleetView {
-    return viewFleet(this.parts.state, this.parts.clock.now());
+  getFleet(): FleetSummary {
+    return summarizeFleet(this.parts.state, this.parts.clock.now());
   }
 
-  /** The services in force here. */
+  /** Gets the services of the configuration in force at this process. */
   @Get('services')
-  getServices(): ServiceView[] {
-    return viewServices(this.parts.state);
+  getServices(): ServiceSummary[] {
+    return summarizeServices(this.parts.state);
   }
 
-  /** The targets that this process drives, and why each is in its state. */
+  /** Gets the targets that this process drives, with the reason for the state of each. */
   @Get('targets')
-  getTargets(): TargetView[] {
-    return viewTargets(this.parts.state, this.parts.clock.now());
+  getTargets(): TargetSummary[] {
+    return summarizeTargets(this.parts.state, this.parts.clock.now());
   }
 
-  /** Which configuration is in force here. */
+  /** Gets the generation, zones and service hashes of the configuration in force here. */
   @Get('configuration')
   getConfiguration(): object {
     const { root, current } = this.parts.state.configuration;
@@ -49,8 +52,8 @@
   }
 
   /**
-   * Takes an accepted configuration from the publishing step.
-   * @param body - The root and the services' descriptions.
+   * Accepts a validated configuration from the publishing step.
+   * @param body - The configuration root and the service objects.
    */
   @Post('configuration')
   @HttpCode(202)
--- a/src/entry/api/AdminGuard.ts
+++ b/src/entry/api/AdminGuard.ts
@@ -11,20 +11,21 @@
   return createHash('sha256').update(text).digest();
 }
 
-/** Lets only those in who bring the administration token. */
+/** Rejects requests that don't carry the administration token. */
 @Injectable()
 export class AdminGuard implements CanActivate {
-  /** @param parts - Give the token. */
+  /** @param parts - Provides the token. */
   constructor(@Inject(API_PARTS) private readonly parts: ApiParts) {}
 
   /**
-   * Whether a request may go on.
-   * @param context - Gives the request.
+   * Returns true if the request carries the token; throws `UnauthorizedException` otherwise.
+   * @param context - Provides the request.
    */
   canActivate(context: ExecutionContext): boolean {
     const { authorization } = context.switchToHttp().getRequest<FastifyRequest>().headers;
     const expected = `Bearer ${this.parts.adminToken}`;
-    // Hashes have one length, and comparing them takes one time: neither tells of the token.
+    // Hashes have equal length and are compared in constant time, so that the response time reveals
+    // nothing about the token.
     if (timingSafeEqual(hash(authorization ?? ''), hash(expected))) return true;
     throw new UnauthorizedException('send the administration token: Authorization: Bearer TOKEN');
   }
--- a/src/entry/api/ApiModule.ts
+++ b/src/entry/api/ApiModule.ts
@@ -12,8 +12,8 @@
 class ApiModule {}
 
 /**
- * The process's own pages as a nest module.
- * @param parts - What the pages are made from.
+ * Creates the nest module of the process API.
+ * @param parts - Dependencies of the controllers.
  */
 export function createApiModule(parts: ApiParts): DynamicModule {
   return {
--- a/src/entry/api/ApiParts.ts
+++ b/src/entry/api/ApiParts.ts
@@ -2,9 +2,9 @@
 import type { Clock } from '../../timing/index.js';
 import type { EntryMetrics } from '../metrics/EntryMetrics.js';
 
-/** What the process's own pages are made from. */
+/** Dependencies of the process API. */
 export interface ApiParts {
-  /** Read only. */
+  /** Read-only. */
   readonly state: EntryState;
   readonly clock: Clock;
   readonly metrics: EntryMetrics;
@@ -12,5 +12,5 @@
   readonly dispatch: (event: CoreEvent) => void;
 }
 
-/** Token by which nest hands the parts to the controllers. */
+/** Injection token by which nest provides the dependencies to the controllers. */
 export const API_PARTS = Symbol('API_PARTS');
--- a/src/entry/api/CallerConnection.ts
+++ b/src/entry/api/CallerConnection.ts
@@ -6,121 +6,126 @@
 import { getProblemHeaders, writeProblemBody } from '../exchange/problem.js';
 
 /**
- * Requests of one connection that are served at a time. Their answers wait for the first of them, in
- * memory; with whole answers of 256 KB, 4 MB for a connection at the most.
+ * Maximum number of requests of one connection that are served concurrently. Their answers are
+ * buffered in memory until the first one is complete: with answers of 256 KB each, up to 4 MB per
+ * connection.
  */
-const MOST_SERVED = 16;
+const MAX_CONCURRENT_REQUESTS = 16;
 
-/** No further request is begun while answers of this size wait for their turn, in bytes. */
-const MOST_WAITING_BYTES = 256 * 1024;
+/** No further request is started while at least this many bytes of answers are buffered. */
+const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
 
-/** Requests behind the last answer are read, so that a caller's leaving is seen, up to so many. */
-const MOST_PASSED_OVER = 200;
+/**
+ * Requests after the final one of a connection are read and discarded up to this number, so that a
+ * disconnect of the caller is noticed.
+ */
+const MAX_DISCARDED_REQUESTS = 200;
 
-/** After the last answer, what the caller still sends is read so long, in milliseconds. */
+/** Time after the final answer during which data from the caller is still read, in milliseconds. */
 const LINGER_MS = 1_000;
 
-/** Begins to serve a request, which was read so many milliseconds before. */
-export type BeginRequest = (heldMs: number) => void;
+/** Starts to serve a request that was read `queuedMs` milliseconds ago. */
+export type StartRequest = (queuedMs: number) => void;
 
-interface WaitingRequest {
-  /** Monotonic milliseconds. */
+interface QueuedRequest {
+  /** When the request was read, in monotonic milliseconds. */
   readonly readAt: number;
-  readonly begin: BeginRequest;
+  readonly start: StartRequest;
 }
 
 /**
- * One caller's connection. Callers may send further requests before the first is answered; answers
- * go back in the order of the requests.
+ * One caller's connection. Callers may pipeline requests; answers are returned in the order of the
+ * requests.
  *
- * What stands behind an answer that closes the connection counts as not read, and is sent again. A
- * request there that went to a target all the same would run for nobody, or twice. So the connection
- * closes with the answer to the last request that was passed on, and passes none on after it.
+ * A caller treats requests after an answer that closes the connection as unprocessed and sends them
+ * again. If such a request had been sent to a target, it would run without a recipient for its
+ * answer, or twice. The connection therefore closes with the answer to the final request that was
+ * accepted, and accepts none after it.
  */
 export class CallerConnection {
-  /** Answers that are owed, in their order. @internal */
-  private readonly owed: ServerResponse[] = [];
+  /** Unfinished answers, in the order of their requests. @internal */
+  private readonly pendingAnswers: ServerResponse[] = [];
 
-  /** Requests that are read and wait for room. @internal */
-  private readonly waiting: WaitingRequest[] = [];
+  /** Requests that were read and wait until the connection has capacity. @internal */
+  private readonly queue: QueuedRequest[] = [];
 
-  /** Requests that were begun and have no whole answer yet. @internal */
-  private served = 0;
+  /** Requests that were started and aren't completely answered yet. @internal */
+  private activeRequestCount = 0;
 
-  /** Requests that stand behind the last answer. @internal */
-  private passedOver = 0;
+  /** Requests received after the final one. @internal */
+  private discardedRequestCount = 0;
 
-  /** Whether the last answer of this connection is known. @internal */
-  private isLastTaken = false;
+  /** Whether the request whose answer closes the connection is known. @internal */
+  private hasFinalRequest = false;
 
   /** @internal */
   private hasAnswered = false;
 
-  /** What came in place of a request, to be answered once all requests are. @internal */
-  private error: ClientError | undefined;
+  /** Parser error, answered once all earlier requests are. @internal */
+  private parserErr: ClientError | undefined;
 
   /** @param socket - The connection. */
   constructor(private readonly socket: Socket) {
-    socket.once('close', () => this.withdraw());
-    socket.on('resume', () => this.holdReading());
-    // Node destroys the socket after the last answer; with requests unread behind it, that resets
-    // the connection, and the caller loses the answer.
-    socket.destroySoon = () => this.endSoon();
+    socket.once('close', () => this.handleClose());
+    socket.on('resume', () => this.pauseReadingIfFull());
+    // Node destroys the socket after the final answer. If unread requests follow, that resets the
+    // connection, and the caller loses the answer.
+    socket.destroySoon = () => this.endWithLinger();
   }
 
-  /** Whether it is kept open between two requests: answered before, and no answer is owed. */
+  /** Whether the connection is idle between requests: it had an answer, and none is unfinished. */
   get isIdle(): boolean {
-    return this.hasAnswered && this.owed.length === 0;
+    return this.hasAnswered && this.pendingAnswers.length === 0;
   }
 
   /**
-   * Takes a request that was read.
-   * @param res - Its answer.
-   * @param isLast - Whether its answer closes the connection.
-   * @param begin - Begins to serve it; called once there is room, and never if it stands behind an
-   * answer that closes the connection.
+   * Accepts a request that was read.
+   * @param res - The request's answer.
+   * @param isFinal - Whether the answer closes the connection.
+   * @param start - Starts to serve the request. Called once the connection has capacity; never
+   * called if an earlier answer closes the connection.
    */
-  take(res: ServerResponse, isLast: boolean, begin: BeginRequest): void {
-    if (this.isLastTaken) {
-      this.passOver();
+  acceptRequest(res: ServerResponse, isFinal: boolean, start: StartRequest): void {
+    if (this.hasFinalRequest) {
+      this.discardRequest();
       return;
     }
-    if (isLast || !res.shouldKeepAlive) this.closeAfter(res);
-    this.owed.push(res);
-    res.once('close', () => this.remove(res));
-    this.waiting.push({ readAt: performance.now(), begin });
-    this.beginWaiting();
-    this.holdReading();
+    if (isFinal || !res.shouldKeepAlive) this.closeAfter(res);
+    this.pendingAnswers.push(res);
+    res.once('close', () => this.removeAnswer(res));
+    this.queue.push({ readAt: performance.now(), start });
+    this.startQueuedRequests();
+    this.pauseReadingIfFull();
   }
 
-  /** Closes the connection with the answer to the last request that is here, if there is one. */
+  /** Makes the answer to the latest open request, if there is one, close the connection. */
   endKeepAlive(): void {
-    const last = this.owed.at(-1);
+    const last = this.pendingAnswers.at(-1);
     if (last !== undefined && !last.headersSent) this.closeAfter(last);
   }
 
   /**
-   * Answers what is not a request, after the requests before it. Closing at once would cut requests
-   * that targets work on.
+   * Answers a parser error after the answers to all earlier requests. Closing the connection
+   * immediately would abort requests that targets are processing.
    * @param err - Node's parser error.
    */
-  refuse(err: ClientError): void {
-    const last = this.owed.at(-1);
+  handleParserError(err: ClientError): void {
+    const last = this.pendingAnswers.at(-1);
     const isBody = last !== undefined && !last.req.complete;
-    this.isLastTaken = true;
-    if (isBody && !last.headersSent) this.answerBrokenBody(last, err);
+    this.hasFinalRequest = true;
+    if (isBody && !last.headersSent) this.answerMalformedBody(last, err);
     else if (last === undefined) answerClientError(err, this.socket);
-    else this.error ??= err;
+    else this.parserErr ??= err;
   }
 
   /** @internal */
-  private passOver(): void {
-    this.passedOver += 1;
-    if (this.passedOver >= MOST_PASSED_OVER) this.socket.pause();
+  private discardRequest(): void {
+    this.discardedRequestCount += 1;
+    if (this.discardedRequestCount >= MAX_DISCARDED_REQUESTS) this.socket.pause();
   }
 
   /** @internal */
-  private answerBrokenBody(res: ServerResponse, err: ClientError): void {
+  private answerMalformedBody(res: ServerResponse, err: ClientError): void {
     const problem = getClientProblem(err);
     const body = writeProblemBody(problem);
     res.shouldKeepAlive = false;
@@ -131,50 +136,56 @@
   /** @internal */
   private closeAfter(res: ServerResponse): void {
     res.shouldKeepAlive = false;
-    this.isLastTaken = true;
+    this.hasFinalRequest = true;
   }
 
   /** @internal */
   private get isFull(): boolean {
-    if (this.served >= MOST_SERVED) return true;
-    const waitingBytes = this.owed.slice(1).reduce((sum, res) => sum + res.writableLength, 0);
-    return waitingBytes >= MOST_WAITING_BYTES;
+    if (this.activeRequestCount >= MAX_CONCURRENT_REQUESTS) return true;
+    const bufferedBytes = this.pendingAnswers
+      .slice(1)
+      .reduce((sum, res) => sum + res.writableLength, 0);
+    return bufferedBytes >= MAX_BUFFERED_ANSWER_BYTES;
   }
 
   /** @internal */
-  private beginWaiting(): void {
-    while (this.waiting.length > 0 && !this.isFull) {
-      this.served += 1;
-      const next = this.waiting.shift();
-      next?.begin(performance.now() - next.readAt);
+  private startQueuedRequests(): void {
+    while (this.queue.length > 0 && !this.isFull) {
+      this.activeRequestCount += 1;
+      const next = this.queue.shift();
+      next?.start(performance.now() - next.readAt);
     }
   }
 
-  /** Node reads on by itself after each answer. @internal */
-  private holdReading(): void {
-    if (!this.isLastTaken && (this.waiting.length > 0 || this.isFull)) this.socket.pause();
+  /** Pauses reading if needed; Node resumes the socket after each answer. @internal */
+  private pauseReadingIfFull(): void {
+    if (!this.hasFinalRequest && (this.queue.length > 0 || this.isFull)) this.socket.pause();
   }
 
   /** @internal */
-  private remove(res: ServerResponse): void {
-    const index = this.owed.indexOf(res);
+  private removeAnswer(res: ServerResponse): void {
+    const index = this.pendingAnswers.indexOf(res);
     if (index < 0) return;
-    this.owed.splice(index, 1);
-    this.served -= 1;
+    this.pendingAnswers.splice(index, 1);
+    this.activeRequestCount -= 1;
     this.hasAnswered = true;
-    this.beginWaiting();
-    if (this.waiting.length === 0 && !this.isFull) this.socket.resume();
-    if (this.isIdle && this.error !== undefined) answerClientError(this.error, this.socket);
+    this.startQueuedRequests();
+    if (this.queue.length === 0 && !this.isFull) this.socket.resume();
+    if (this.isIdle && this.parserErr !== undefined) answerClientError(this.parserErr, this.socket);
   }
 
-  /** Node tells a caller's leaving only to the answer whose turn it is. @internal */
-  private withdraw(): void {
-    this.waiting.length = 0;
-    for (const res of this.owed.splice(0)) res.emit('close');
+  /**
+   * Emits `close` on every unfinished answer: when the caller disconnects, Node emits it only on
+   * the answer whose turn it is.
+   * @internal
+   */
+  private handleClose(): void {
+    this.queue.length = 0;
+    for (const res of this.pendingAnswers.splice(0)) res.emit('close');
   }
 
   /** @internal */
-  private endSoon(): void {
+  private endWithLinger(): void {
     const { socket } = this;
     socket.end();
     socket.resume();
--- a/src/entry/api/CallerServer.ts
+++ b/src/entry/api/CallerServer.ts
@@ -6,38 +6,42 @@
 import type { ListenAddress } from '../../config/index.js';
 import { createListenError } from '../errors.js';
 import type { ClientError } from '../exchange/clientErrors.js';
-import { answerConnect } from '../exchange/clientErrors.js';
+import { refuseConnect } from '../exchange/clientErrors.js';
 import { getProblemHeaders, writeProblemBody } from '../exchange/problem.js';
 import { CallerConnection } from './CallerConnection.js';
 
-/** Where callers connect, and bounds on what they may take up. */
+/** Listen address of the caller server, and limits on callers. */
 export interface CallerServerOptions {
   readonly listen: ListenAddress;
-  /** Larger request heads are refused, in bytes. */
+  /** Maximum size of a request's head, in bytes. */
   readonly headerBytes: number;
   readonly maxConnections: number;
 }
 
 /**
- * Takes a request. `awaitsContinue` says that its caller sends the body only when told to, `heldMs`
- * how long ago it was read: the time that its caller allows has run since then.
+ * Handles a request. `hasExpectContinue` means that the caller sends the body only after a
+ * `100 Continue`. `queuedMs` is the time since the request was read, in milliseconds; it counts
+ * towards the request's deadline.
  */
 export type CallerHandler = (
   req: IncomingMessage,
   res: ServerResponse,
-  awaitsContinue: boolean,
-  heldMs: number,
+  hasExpectContinue: boolean,
+  queuedMs: number,
 ) => void;
 
-/** Time that a caller has for a request's head, in milliseconds. */
+/** Time limit for a caller to send a request's head, in milliseconds. */
 const HEAD_TIMEOUT_MS = 10_000;
 
-/** Callers' idle connections are kept longer than callers usually keep theirs, in milliseconds. */
+/**
+ * Idle timeout of caller connections, in milliseconds. It is longer than the usual idle timeout of
+ * HTTP clients, so that callers close idle connections first.
+ */
 const KEEP_ALIVE_MS = 65_000;
 
 const RETRY_AFTER_MS = 100;
 
-function answerStarting(_req: IncomingMessage, res: ServerResponse): void {
+function refuseWhileStarting(_req: IncomingMessage, res: ServerResponse): void {
   const problem = {
     status: 503,
     outcome: 'not-run' as const,
@@ -52,8 +56,8 @@
 
 /** The HTTP server that callers and operators connect to. */
 export class CallerServer {
-  /** Takes each request; until it is set, requests are told that the process is starting. */
-  handle: CallerHandler = answerStarting;
+  /** Handles each request; until it is set, requests are answered that the process is starting. */
+  handle: CallerHandler = refuseWhileStarting;
 
   /** @internal */
   private readonly server: Server;
@@ -75,22 +79,22 @@
     });
     this.server.maxConnections = options.maxConnections;
     this.server.on('request', (req: IncomingMessage, res: ServerResponse) => {
-      this.take(req, res, false);
+      this.acceptRequest(req, res, false);
     });
-    // Without this, node tells a caller to send its body before its request is looked at.
+    // Without this handler, Node sends `100 Continue` before the request is checked.
     this.server.on('checkContinue', (req: IncomingMessage, res: ServerResponse) => {
-      this.take(req, res, true);
+      this.acceptRequest(req, res, true);
     });
-    this.server.on('connection', (socket: Socket) => this.open(socket));
+    this.server.on('connection', (socket: Socket) => this.addConnection(socket));
     this.server.on('clientError', (err: ClientError, socket: Socket) => {
-      this.connections.get(socket)?.refuse(err);
+      this.connections.get(socket)?.handleParserError(err);
     });
-    this.server.on('connect', answerConnect);
+    this.server.on('connect', refuseConnect);
   }
 
   /**
-   * Starts to listen; throws `StartError` if the address is not free.
-   * @param options - Where, and within which bounds.
+   * Starts to listen; throws `StartError` if the address can't be listened on.
+   * @param options - Listen address and limits.
    */
   static async listen(options: CallerServerOptions): Promise<CallerServer> {
     const callerServer = new CallerServer(options);
@@ -103,15 +107,16 @@
     return callerServer;
   }
 
-  /** IP number and port. */
+  /** Listen address, as `IP:port`. */
   get address(): string {
     const { address, port } = this.server.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
   /**
-   * From now on each connection ends with its last answer. A caller that kept one until the process
-   * ends could send a request into it just as it closes, and would not know whether the request ran.
+   * Makes every connection close with the answer to its latest request. On a connection kept alive
+   * until the process exits, a caller could send a request just as it closes, and would not know
+   * whether the request ran.
    */
   endKeepAlive(): void {
     this.isStopping = true;
@@ -119,8 +124,8 @@
   }
 
   /**
-   * Changes how long connections may be idle, those that are open included.
-   * @param idleMs - Milliseconds.
+   * Sets the idle timeout of connections, including those that are already open.
+   * @param idleMs - The timeout in milliseconds.
    */
   setIdleTimeout(idleMs: number): void {
     if (this.server.keepAliveTimeout === idleMs) return;
@@ -128,29 +133,33 @@
     for (const [socket, { isIdle }] of this.connections) if (isIdle) socket.setTimeout(idleMs);
   }
 
-  /** Takes no new connections; those that are there go on. */
+  /** Stops accepting connections; the open ones stay open. */
   stopListening(): void {
-    // The HTTP server's own `close` also ends idle connections, in which a request may lie unread.
+    // `close` of the HTTP server also closes idle connections, which may hold an unread request.
     NetServer.prototype.close.call(this.server);
   }
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately. */
   destroy(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
   /** @internal */
-  private open(socket: Socket): void {
+  private addConnection(socket: Socket): void {
     this.connections.set(socket, new CallerConnection(socket));
     socket.once('close', () => this.connections.delete(socket));
   }
 
   /** @internal */
-  private take(req: IncomingMessage, res: ServerResponse, awaitsContinue: boolean): void {
+  private acceptRequest(
+    req: IncomingMessage,
+    res: ServerResponse,
+    hasExpectContinue: boolean,
+  ): void {
     const connection = this.connections.get(req.socket);
-    connection?.take(res, this.isStopping, (heldMs) =>
-      this.handle(req, res, awaitsContinue, heldMs),
+    connection?.acceptRequest(res, this.isStopping, (queuedMs) =>
+      this.handle(req, res, hasExpectContinue, queuedMs),
     );
   }
 }
--- a/src/entry/api/HealthController.ts
+++ b/src/entry/api/HealthController.ts
@@ -5,21 +5,21 @@
 import type { ApiParts } from './ApiParts.js';
 import { API_PARTS } from './ApiParts.js';
 
-/** Tells the platform whether the process lives and whether it takes work. */
+/** Health and readiness checks for the platform. */
 @Controller()
 export class HealthController {
   /** @param parts - The process's state. */
   constructor(@Inject(API_PARTS) private readonly parts: ApiParts) {}
 
-  /** The process lives. */
+  /** Liveness check: succeeds while the process runs. */
   @Get('healthz')
   getHealth(): { status: string } {
     return { status: 'ok' };
   }
 
   /**
-   * Whether the process takes work: it has a configuration that it knows to be the
-   * latest, is a member of the fleet, and isn't about to stop.
+   * Readiness check: the process has a configuration that was recently confirmed to be the latest,
+   * is a member of the fleet, and isn't stopping.
    * @param reply - The answer.
    */
   @Get('readyz')
--- a/src/entry/api/MetricsController.ts
+++ b/src/entry/api/MetricsController.ts
@@ -4,14 +4,14 @@
 import type { ApiParts } from './ApiParts.js';
 import { API_PARTS } from './ApiParts.js';
 
-/** Gives the process's metrics in prom-client's text format. */
+/** Serves the process's metrics in the Prometheus text format. */
 @Controller('metrics')
 export class MetricsController {
   /** @param parts - The process's metrics. */
   constructor(@Inject(API_PARTS) private readonly parts: ApiParts) {}
 
   /**
-   * All metrics.
+   * Gets all metrics.
    * @param reply - The answer.
    */
   @Get()
--- a/src/entry/api/ProblemFilter.ts
+++ b/src/entry/api/ProblemFilter.ts
@@ -5,7 +5,7 @@
 import type { AdapterProblemCode } from '../exchange/problem.js';
 import { getProblemHeaders, writeProblemBody } from '../exchange/problem.js';
 
-const CODES = new Map<number, AdapterProblemCode>([
+const PROBLEM_CODES_BY_STATUS = new Map<number, AdapterProblemCode>([
   [401, 'wrong-token'],
   [404, 'not-found'],
   [413, 'body-too-large'],
@@ -17,13 +17,13 @@
   return statusCode ?? 500;
 }
 
-/** Tells every error of the process's own pages as problem JSON. */
+/** Answers every error of the process API as problem JSON. */
 @Catch()
 export class ProblemFilter implements ExceptionFilter {
   /**
    * Answers an error.
-   * @param error - What was thrown.
-   * @param host - Gives the answer to write to.
+   * @param error - The thrown value.
+   * @param host - Provides the reply to write to.
    */
   catch(error: unknown, host: ArgumentsHost): void {
     const reply = host.switchToHttp().getResponse<FastifyReply>();
@@ -31,7 +31,7 @@
     const problem = {
       status,
       outcome: 'not-run' as const,
-      code: CODES.get(status) ?? ('malformed-request' as const),
+      code: PROBLEM_CODES_BY_STATUS.get(status) ?? ('malformed-request' as const),
       detail: status < 500 ? (error as Error).message : 'the entry VM failed to answer',
     };
     const body = writeProblemBody(problem);
--- a/src/entry/api/adminViews.ts
+++ b/src/entry/api/adminViews.ts
@@ -1,7 +1,7 @@
 import type { EntryState, Member, TargetPhase } from '../../core/index.js';
 
-/** The fleet as one process knows it. */
-export interface FleetView {
+/** The fleet as one process sees it. */
+export interface FleetSummary {
   readonly self: Member;
   readonly epoch: number;
   readonly members: readonly Member[];
@@ -18,15 +18,15 @@
   }[];
 }
 
-/** A service as one process knows it. */
-export interface ServiceView {
+/** A service as one process sees it. */
+export interface ServiceSummary {
   readonly name: string;
   readonly targets: number;
   readonly drivenHere: number;
 }
 
-/** A target as its holder knows it. */
-export interface TargetView {
+/** A target as seen by the process that drives it. */
+export interface TargetSummary {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
@@ -35,18 +35,18 @@
   readonly phase: TargetPhase;
   readonly limit: number;
   readonly outstanding: number;
-  /** Why it takes what it takes, in a sentence. */
+  /** One sentence that explains how many requests the target can take now. */
   readonly why: string;
 }
 
-type TargetRecord = EntryState['targets']['records'] extends Map<string, infer R> ? R : never;
+type LocalTarget = EntryState['targets']['records'] extends Map<string, infer R> ? R : never;
 
 /**
- * The fleet as this process knows it.
- * @param state - The process's state; read only.
+ * Summarizes the fleet as this process sees it.
+ * @param state - The process's state; read-only.
  * @param now - Monotonic milliseconds.
  */
-export function viewFleet(state: EntryState, now: number): FleetView {
+export function summarizeFleet(state: EntryState, now: number): FleetSummary {
   const { fleet, settings } = state;
   const remaining = fleet.leaseEnd - now;
   return {
@@ -68,10 +68,10 @@
 }
 
 /**
- * The services in force here.
- * @param state - The process's state; read only.
+ * Summarizes the services of the configuration in force at this process.
+ * @param state - The process's state; read-only.
  */
-export function viewServices(state: EntryState): ServiceView[] {
+export function summarizeServices(state: EntryState): ServiceSummary[] {
   return state.configuration.current.services.map(({ name }) => ({
     name,
     targets: state.configuration.targets.get(name)?.length ?? 0,
@@ -79,7 +79,7 @@
   }));
 }
 
-function explain(state: EntryState, record: TargetRecord, now: number): string {
+function explainCapacity(state: EntryState, record: LocalTarget, now: number): string {
   if (state.configuration.zones.get(record.config.zone)?.state !== 'in') {
     return `operators have taken zone ${record.config.zone} out`;
   }
@@ -91,11 +91,11 @@
 }
 
 /**
- * The targets that this process drives, and why each takes what it takes.
- * @param state - The process's state; read only.
+ * Summarizes the targets that this process drives, and explains the capacity of each.
+ * @param state - The process's state; read-only.
  * @param now - Monotonic milliseconds.
  */
-export function viewTargets(state: EntryState, now: number): TargetView[] {
+export function summarizeTargets(state: EntryState, now: number): TargetSummary[] {
   return [...state.targets.records.values()].map((record) => ({
     id: record.config.id,
     service: record.config.service,
@@ -105,6 +105,6 @@
     phase: record.phase,
     limit: record.limit,
     outstanding: record.outstanding.size,
-    why: explain(state, record, now),
+    why: explainCapacity(state, record, now),
   }));
 }
--- a/src/entry/api/createOwnPages.ts
+++ b/src/entry/api/createProcessApi.ts
@@ -11,22 +11,25 @@
 import type { ApiParts } from './ApiParts.js';
 import { ProblemFilter } from './ProblemFilter.js';
 
-/** A published configuration holds all services at once; the store takes a megabyte a value. */
+/**
+ * Maximum size of a request body. A pushed configuration contains all services at once, each of
+ * which may be as large as a value in the store, 1 MB.
+ */
 const MAX_ADMIN_BODY_BYTES = 16 * 1024 * 1024;
 
-/** The process's own pages: addresses, health, metrics, administration. */
-export interface OwnPages {
+/** HTTP API of the process itself: addresses, health, metrics and administration. */
+export interface ProcessApi {
   readonly handler: RequestListener;
   close(): Promise<void>;
 }
 
 /**
- * Makes the process's own pages with nest on fastify. Fastify gets its requests handed on by the
- * callers' server, which looks first whether a request is for a service: fastify's router, objects
- * and hooks would cost more than they give to what is only passed through.
- * @param parts - What the pages are made from.
+ * Creates the process API with nest on fastify. The caller server checks first whether a request is
+ * for a service, and passes only the others to fastify: its router, request objects and hooks are
+ * overhead without benefit for requests that are only proxied.
+ * @param parts - Dependencies of the API.
  */
-export async function createOwnPages(parts: ApiParts): Promise<OwnPages> {
+export async function createProcessApi(parts: ApiParts): Promise<ProcessApi> {
   let handler: RequestListener | undefined;
   const adapter = new FastifyAdapter({
     bodyLimit: MAX_ADMIN_BODY_BYTES,
--- a/src/entry/api/readPushedConfiguration.ts
+++ b/src/entry/api/readPushedConfiguration.ts
@@ -1,6 +1,6 @@
 import type { ConfigRoot, ServiceObject } from '../../core/index.js';
 
-/** What a publishing step hands over. */
+/** A configuration pushed by the publishing step. */
 export interface PushedConfiguration {
   readonly root: ConfigRoot;
   readonly services: readonly ServiceObject[];
@@ -23,8 +23,9 @@
 }
 
 /**
- * Checks a body of `POST /v1/admin/configuration`; gives what is wrong as text.
- * @param body - The body.
+ * Validates a body of `POST /v1/admin/configuration`; returns a description of the fault if it is
+ * invalid.
+ * @param body - The parsed body.
  */
 export function readPushedConfiguration(body: unknown): PushedConfiguration | string {
   if (!isObject(body)) return 'send an object with "root" and "services"';
--- a/src/entry/attempts/AnswerKeeper.ts
+++ b/src/entry/attempts/AnswerCopier.ts
@@ -1,7 +1,7 @@
 import type { StoredAnswer } from '../../core/index.js';
 
-/** Copies an answer on its way, to be kept under its request's key. */
-export class AnswerKeeper {
+/** Copies an answer while it is relayed, so that it can be stored under the idempotency key. */
+export class AnswerCopier {
   /** @internal */
   private chunks: Uint8Array[] = [];
 
@@ -14,31 +14,31 @@
   /** @internal */
   private contentType = '';
 
-  /** @param maxBytes - A larger body is not kept. */
+  /** @param maxBytes - Maximum size of a stored body; a larger body is dropped. */
   constructor(private readonly maxBytes: number) {}
 
   /**
-   * Begins with the head.
+   * Records the head.
    * @param status - The answer's status.
-   * @param contentType - The body's media type; empty if unknown.
+   * @param contentType - Media type of the body; empty if unknown.
    */
-  begin(status: number, contentType: string): void {
+  recordHead(status: number, contentType: string): void {
     this.status = status;
     this.contentType = contentType;
   }
 
   /**
-   * Adds a piece of the body.
-   * @param chunk - The piece.
+   * Adds a chunk of the body.
+   * @param chunk - The chunk.
    */
-  add(chunk: Uint8Array): void {
+  addChunk(chunk: Uint8Array): void {
     this.size += chunk.length;
     if (this.size <= this.maxBytes) this.chunks.push(chunk);
     else this.chunks = [];
   }
 
-  /** The answer; without its body if that was too large. */
-  get(): StoredAnswer {
+  /** Gets the recorded answer, without a body if the body exceeded the maximum size. */
+  getStoredAnswer(): StoredAnswer {
     const { status, contentType } = this;
     if (this.size > this.maxBytes) return { status, contentType };
     return { status, contentType, body: Buffer.concat(this.chunks).toString('base64') };
--- a/src/entry/attempts/Attempt.ts
+++ b/src/entry/attempts/Attempt.ts
@@ -1,12 +1,12 @@
 import type { AnswerSink } from '../exchange/Exchange.js';
 
-/** One sending of a request to a target or peer. */
+/** One attempt to send a request to a target or peer. */
 export interface Attempt {
-  /** Stops it; its end is still told. */
+  /** Cancels the attempt; its end is still reported to the core. */
   cancel(): void;
   /**
-   * Sends the answer on to the one who waits for it.
-   * @param sink - Where it goes.
+   * Relays the answer to the caller or peer that waits for it.
+   * @param sink - Destination of the answer.
    */
   relayTo(sink: AnswerSink): void;
 }
--- a/src/entry/attempts/Attempts.ts
+++ b/src/entry/attempts/AttemptRunner.ts
@@ -4,55 +4,55 @@
 import type { Exchange } from '../exchange/Exchange.js';
 import type { Exchanges } from '../exchange/Exchanges.js';
 import type { Attempt } from './Attempt.js';
-import { AttemptReport } from './AttemptReport.js';
+import { AttemptReporter } from './AttemptReporter.js';
 import { TargetAttempt } from './TargetAttempt.js';
 import type { TargetPools } from './TargetPools.js';
 
-/** An attempt that can be started, and ended by its deadline. */
+/** An attempt that can be started and that can exceed its deadline. */
 export interface StartableAttempt extends Attempt {
   start(): void;
   expire(): void;
 }
 
-/** What a forward to a peer is made from. */
-export interface ForwardParts {
+/** Input for an attempt that forwards a request to a peer. */
+export interface ForwardAttemptInput {
   readonly attempt: AttemptId;
   readonly peer: EntryVmId;
   readonly peerAddress: string;
   readonly exchange: Exchange;
-  readonly report: AttemptReport;
+  readonly reporter: AttemptReporter;
   readonly remainingMs: number;
   readonly onBodyTooLarge: () => void;
 }
 
-/** What sending attempts needs. */
-export interface AttemptsParts {
+/** Dependencies of the attempt runner. */
+export interface AttemptRunnerParts {
   readonly clock: Clock;
   readonly exchanges: Exchanges;
   readonly pools: TargetPools;
   readonly dispatch: (event: CoreEvent) => void;
   readonly storedAnswerBytes: number;
-  readonly createForward: (parts: ForwardParts) => StartableAttempt;
+  readonly createForwardAttempt: (parts: ForwardAttemptInput) => StartableAttempt;
   readonly onBodyTooLarge: (request: number) => void;
-  /** Told how long each sending took, in milliseconds. */
+  /** Called with the duration of each attempt when it ends, in milliseconds. */
   readonly onEnded: (to: 'target' | 'peer', milliseconds: number) => void;
-  /** Read only. */
+  /** Read-only. */
   readonly state: EntryState;
 }
 
 type SendEffect = Extract<Effect, { kind: 'sendAttempt' }>;
 
-/** Carries out what the core says about attempts. */
-export class Attempts {
+/** Runs the core's effects that send, cancel and relay attempts. */
+export class AttemptRunner {
   /** @internal */
-  private readonly byId = new Map<AttemptId, Attempt>();
+  private readonly attemptsById = new Map<AttemptId, Attempt>();
 
-  /** @param parts - What sending needs. */
-  constructor(private readonly parts: AttemptsParts) {}
+  /** @param parts - Dependencies. */
+  constructor(private readonly parts: AttemptRunnerParts) {}
 
   /**
-   * Sends a request.
-   * @param effect - Which request, where, and until when.
+   * Starts an attempt.
+   * @param effect - Request, destination and deadline of the attempt.
    */
   send(effect: SendEffect): void {
     const { clock, exchanges, dispatch } = this.parts;
@@ -64,7 +64,7 @@
     }
     const startedAt = clock.now();
     let cancelTimer: CancelTimer = () => {};
-    const report = new AttemptReport({
+    const reporter = new AttemptReporter({
       attempt: effect.attempt,
       exchange,
       dispatch,
@@ -72,46 +72,46 @@
       onEnded: () => {
         this.parts.onEnded(effect.to.kind, clock.now() - startedAt);
         cancelTimer();
-        this.byId.delete(effect.attempt);
+        this.attemptsById.delete(effect.attempt);
       },
     });
     const remainingMs = effect.deadlineAt - startedAt;
-    const attempt = this.create(effect, exchange, report, remainingMs);
-    this.byId.set(effect.attempt, attempt);
+    const attempt = this.create(effect, exchange, reporter, remainingMs);
+    this.attemptsById.set(effect.attempt, attempt);
     cancelTimer = clock.after(Math.max(0, remainingMs), () => attempt.expire());
     attempt.start();
   }
 
   /**
-   * Stops an attempt.
+   * Cancels an attempt; does nothing if it has ended.
    * @param id - The attempt.
    */
   cancel(id: AttemptId): void {
-    this.byId.get(id)?.cancel();
+    this.attemptsById.get(id)?.cancel();
   }
 
   /**
-   * Sends an attempt's answer on to the one who waits for the request.
+   * Relays an attempt's answer to the caller or peer that sent the request.
    * @param id - The attempt.
    * @param exchange - The request.
    */
   relay(id: AttemptId, exchange: Exchange): void {
-    this.byId.get(id)?.relayTo(exchange);
+    this.attemptsById.get(id)?.relayTo(exchange);
   }
 
   /** @internal */
   private create(
     effect: SendEffect,
     exchange: Exchange,
-    report: AttemptReport,
+    reporter: AttemptReporter,
     remainingMs: number,
   ): StartableAttempt {
     const { to, attempt } = effect;
     const onBodyTooLarge = (): void => this.parts.onBodyTooLarge(effect.request);
     if (to.kind === 'peer') {
       const { peer, peerAddress } = to;
-      const parts = { attempt, exchange, report, remainingMs, onBodyTooLarge };
-      return this.parts.createForward({ ...parts, peer, peerAddress });
+      const parts = { attempt, exchange, reporter, remainingMs, onBodyTooLarge };
+      return this.parts.createForwardAttempt({ ...parts, peer, peerAddress });
     }
     const { pools, state, clock } = this.parts;
     const { target } = to;
@@ -120,12 +120,12 @@
     return new TargetAttempt({
       attempt,
       exchange,
-      report,
+      reporter,
       remainingMs,
       onBodyTooLarge,
       dispatcher,
       origin: { target, zone: record?.config.zone ?? '' },
-      maySend: () => {
+      canSend: () => {
         const now = clock.now();
         return now < effect.deadlineAt && canSendTo(state, target, now);
       },
--- a/src/entry/attempts/ForwardAttempt.ts
+++ b/src/entry/attempts/ForwardAttempt.ts
@@ -12,20 +12,20 @@
 import { checkAnswerFrame, provesNotDelivered } from '../../peers/index.js';
 import type { AnswerSink, AnswerSource, Exchange } from '../exchange/Exchange.js';
 import type { Attempt } from './Attempt.js';
-import type { AttemptReport } from './AttemptReport.js';
+import type { AttemptReporter } from './AttemptReporter.js';
 
-/** What a forward of a request needs. */
+/** Dependencies of an attempt that forwards a request to a peer. */
 export interface ForwardAttemptParts {
   readonly attempt: number;
   readonly exchange: Exchange;
-  readonly report: AttemptReport;
+  readonly reporter: AttemptReporter;
   readonly remainingMs: number;
   readonly onBodyTooLarge: () => void;
   /** Opens the call to the peer. */
-  readonly open: () => OutgoingPeerCall;
+  readonly openCall: () => OutgoingPeerCall;
 }
 
-/** A request on its way to another entry VM. */
+/** An attempt that forwards a request to another entry VM. */
 export class ForwardAttempt implements Attempt, AnswerSource {
   /** @internal */
   private call: OutgoingPeerCall | undefined;
@@ -33,20 +33,22 @@
   /** @internal */
   private body: Readable | undefined;
 
-  /** @param parts - What to send and where. */
+  /** @param parts - The request to forward, and how to open the call. */
   constructor(private readonly parts: ForwardAttemptParts) {}
 
   /** Sends the request. */
   start(): void {
-    const call = this.parts.open();
+    const call = this.parts.openCall();
     this.call = call;
-    call.on('data', (frame: unknown) => this.takeFrame(frame));
-    call.on('error', (error: ServiceError) => this.fail(error));
-    call.on('end', () => this.parts.report.end(this.parts.report.hasHead ? 'cut' : 'reset'));
+    call.on('data', (frame: unknown) => this.handleFrame(frame));
+    call.on('error', (error: ServiceError) => this.handleCallError(error));
+    call.on('end', () =>
+      this.parts.reporter.reportEnd(this.parts.reporter.hasHead ? 'cut' : 'reset'),
+    );
     const { exchange, onBodyTooLarge } = this.parts;
-    const whole = exchange.body.getWhole();
-    call.write(this.getHead(whole));
-    if (whole !== undefined) call.end();
+    const wholeBody = exchange.body.getWhole();
+    call.write(this.createHead(wholeBody));
+    if (wholeBody !== undefined) call.end();
     else this.sendBody(call, exchange.body.open(onBodyTooLarge) as Readable);
   }
 
@@ -54,13 +56,13 @@
     this.stop('cancelled');
   }
 
-  /** The deadline passed; whether the peer had the request is not certain. */
+  /** Ends the attempt at its deadline; the peer may or may not have received the request. */
   expire(): void {
     this.stop('timedOut');
   }
 
   relayTo(sink: AnswerSink): void {
-    if (this.parts.report.relay(sink, this)) this.resume();
+    if (this.parts.reporter.startRelay(sink, this)) this.resume();
   }
 
   resume(): void {
@@ -68,7 +70,7 @@
   }
 
   /** @internal */
-  private getHead(whole: Buffer | undefined): ForwardHead {
+  private createHead(wholeBody: Buffer | undefined): ForwardHead {
     const { exchange, remainingMs } = this.parts;
     const { service, caller, fingerprint, key, head, body } = exchange;
     return {
@@ -82,7 +84,7 @@
       headers: head.headers,
       remainingMs,
       contentLength: body.contentLength,
-      body: whole,
+      body: wholeBody,
     };
   }
 
@@ -96,38 +98,39 @@
       call.write({ kind: 'end' });
       call.end();
     });
-    // The caller hung up or sent too much: without an end frame, the peer can't take it for whole.
+    // The caller disconnected or exceeded the size limit. Without an end frame, the peer doesn't
+    // mistake the partial body for a complete one.
     body.on('error', () => call.cancel());
     call.on('drain', () => body.resume());
   }
 
   /** @internal */
-  private takeFrame(value: unknown): void {
+  private handleFrame(value: unknown): void {
     const frame = checkAnswerFrame(value);
     if (frame === undefined) {
-      this.stop(this.parts.report.hasHead ? 'cut' : 'reset');
+      this.stop(this.parts.reporter.hasHead ? 'cut' : 'reset');
       return;
     }
-    this.takeChecked(frame);
+    this.handleValidFrame(frame);
   }
 
   /** @internal */
-  private takeChecked(frame: AnswerFrame): void {
-    const { report } = this.parts;
+  private handleValidFrame(frame: AnswerFrame): void {
+    const { reporter } = this.parts;
     if (frame.kind === 'answer') {
-      if (!this.takeAnswer(frame)) this.call?.pause();
+      if (!this.handleAnswerHead(frame)) this.call?.pause();
     } else if (frame.kind === 'body') {
       const { buffer, byteOffset, byteLength } = frame.data;
       const chunk = Buffer.from(buffer, byteOffset, byteLength);
-      if (!report.data(chunk)) this.call?.pause();
+      if (!reporter.relayChunk(chunk)) this.call?.pause();
     } else {
-      report.end(frame.whole ? 'complete' : 'cut');
+      reporter.reportEnd(frame.whole ? 'complete' : 'cut');
       this.call?.cancel();
     }
   }
 
   /** @internal */
-  private takeAnswer(frame: ForwardAnswerHead): boolean {
+  private handleAnswerHead(frame: ForwardAnswerHead): boolean {
     const { status, headers, endsWithConnection, ownOutcome, retryAfterMs, spare } = frame;
     const event: CoreEvent = {
       kind: 'attemptAnswered',
@@ -140,20 +143,20 @@
     const { contentType, target, zone } = frame;
     const origin = target == null || zone == null ? undefined : { target, zone };
     const head = { status, headers, contentType, endsWithConnection, origin, ownOutcome };
-    return this.parts.report.answered(head, event);
+    return this.parts.reporter.reportHead(head, event);
   }
 
   /** @internal */
-  private fail(error: ServiceError): void {
-    const { report } = this.parts;
+  private handleCallError(error: ServiceError): void {
+    const { reporter } = this.parts;
     this.body?.destroy();
-    if (provesNotDelivered(error)) report.end('notSent');
-    else report.end(report.hasHead ? 'cut' : 'reset');
+    if (provesNotDelivered(error)) reporter.reportEnd('notSent');
+    else reporter.reportEnd(reporter.hasHead ? 'cut' : 'reset');
   }
 
   /** @internal */
   private stop(end: AttemptEnd): void {
-    this.parts.report.end(end);
+    this.parts.reporter.reportEnd(end);
     this.body?.destroy();
     this.call?.cancel();
   }
--- a/src/entry/attempts/TargetAttempt.ts
+++ b/src/entry/attempts/TargetAttempt.ts
@@ -4,49 +4,53 @@
 import type { AnswerOrigin, AnswerSink, AnswerSource, Exchange } from '../exchange/Exchange.js';
 import { cleanHeaders } from '../exchange/headers.js';
 import type { Attempt } from './Attempt.js';
-import type { AttemptReport } from './AttemptReport.js';
+import type { AttemptReporter } from './AttemptReporter.js';
 import { readLoadReport, readRetryAfterMs } from './loadReport.js';
 
 const FIRST_FINAL_STATUS = 200;
 
-/** Answers that are not wanted are read to their end if they are this short, in bytes. */
-const SHORT_ANSWER_BYTES = 16 * 1024;
+/**
+ * A cancelled attempt's answer is read to its end if its declared length is at most this many
+ * bytes, so that the connection can be reused.
+ */
+const MAX_DRAINED_ANSWER_BYTES = 16 * 1024;
 
 const VIA = '1.1 masticlink';
 
-/** What a sending to a target needs. */
+/** Dependencies of an attempt to a target. */
 export interface TargetAttemptParts {
   readonly attempt: number;
   readonly exchange: Exchange;
   readonly dispatcher: Dispatcher;
-  readonly report: AttemptReport;
+  readonly reporter: AttemptReporter;
   readonly origin: AnswerOrigin;
-  /** Whether the request may still be sent; asked just before its first byte is written. */
-  readonly maySend: () => boolean;
-  /** Time the caller still allows, in milliseconds, told to the target. */
+  /** Whether the request may still be sent; checked just before its first byte is written. */
+  readonly canSend: () => boolean;
+  /** Time left until the request's deadline, in milliseconds; passed on to the target. */
   readonly remainingMs: number;
-  /** Told if the request's body grows beyond its bound on the way. */
+  /** Called if the request's body exceeds the size limit while it is streamed. */
   readonly onBodyTooLarge: () => void;
 }
 
 /**
- * A request on its way to a target. undici calls `onConnect` just before it writes the first byte:
- * an error before that is provably `notSent`, and after that the request may have run.
+ * An attempt that sends a request to a target. undici calls `onConnect` just before it writes the
+ * first byte: after an error before that call the request has certainly not been sent (`notSent`),
+ * after a later error it may have run.
  */
 export class TargetAttempt implements Attempt, AnswerSource, Dispatcher.DispatchHandler {
   /** @internal */
-  private abortSending: ((err?: Error) => void) | undefined;
+  private abortRequest: ((err?: Error) => void) | undefined;
 
   /** @internal */
   private resumeReading: (() => void) | undefined;
 
   /** @internal */
-  private wasWritten = false;
+  private hasStartedWriting = false;
 
   /** @internal */
-  private isShort = false;
+  private isDrainable = false;
 
-  /** @param parts - What to send and where. */
+  /** @param parts - The request to send, and the dispatcher that sends it. */
   constructor(private readonly parts: TargetAttemptParts) {}
 
   /** Sends the request. */
@@ -63,7 +67,7 @@
           String(Math.max(0, Math.floor(remainingMs))),
         ],
         body: exchange.body.open(onBodyTooLarge),
-        // Deadlines are the core's; undici's own timeouts would end requests that are still wanted.
+        // The core enforces deadlines; undici's own timeouts would abort requests within them.
         headersTimeout: 0,
         bodyTimeout: 0,
       },
@@ -75,13 +79,13 @@
     this.stop('cancelled');
   }
 
-  /** The deadline passed. If nothing was written, the target never heard of the request. */
+  /** Ends the attempt at its deadline. If no byte was written, the target has received nothing. */
   expire(): void {
-    this.stop(this.wasWritten ? 'timedOut' : 'notSent');
+    this.stop(this.hasStartedWriting ? 'timedOut' : 'notSent');
   }
 
   relayTo(sink: AnswerSink): void {
-    if (this.parts.report.relay(sink, this)) this.resume();
+    if (this.parts.reporter.startRelay(sink, this)) this.resume();
   }
 
   resume(): void {
@@ -90,13 +94,13 @@
 
   /** @internal */
   onConnect(abort: (err?: Error) => void): void {
-    this.abortSending = abort;
-    // A second time would be undici's own retry; it must not send twice what may have run.
-    const isStale = this.parts.report.hasEnded || this.wasWritten;
-    // A process that was paused while the connection came about wakes up right here, when its
-    // lease may have lapsed and another process sends to the target.
-    if (isStale || !this.parts.maySend()) abort();
-    else this.wasWritten = true;
+    this.abortRequest = abort;
+    // A second call is a retry by undici. The request may have run, so it must not be sent again.
+    const isStale = this.parts.reporter.hasEnded || this.hasStartedWriting;
+    // If the process was paused while the connection was established, it resumes here. By then its
+    // lease may have expired, and another process may be sending to the target.
+    if (isStale || !this.parts.canSend()) abort();
+    else this.hasStartedWriting = true;
   }
 
   /** @internal */
@@ -121,33 +125,33 @@
       clean.contentLength === undefined ? undefined : Number(clean.contentLength);
     const endsWithConnection = !isFramed;
     const head = { status, headers, contentType, contentLength, endsWithConnection, origin };
-    this.isShort = contentLength !== undefined && contentLength <= SHORT_ANSWER_BYTES;
-    return this.parts.report.answered(head, event);
+    this.isDrainable = contentLength !== undefined && contentLength <= MAX_DRAINED_ANSWER_BYTES;
+    return this.parts.reporter.reportHead(head, event);
   }
 
   /** @internal */
   onData(chunk: Buffer): boolean {
-    return this.parts.report.data(chunk);
+    return this.parts.reporter.relayChunk(chunk);
   }
 
   /** @internal */
   onComplete(): void {
-    this.parts.report.end('complete');
+    this.parts.reporter.reportEnd('complete');
   }
 
   /** @internal */
   onError(): void {
-    if (!this.wasWritten) this.parts.report.end('notSent');
-    else this.parts.report.end(this.parts.report.hasHead ? 'cut' : 'reset');
+    if (!this.hasStartedWriting) this.parts.reporter.reportEnd('notSent');
+    else this.parts.reporter.reportEnd(this.parts.reporter.hasHead ? 'cut' : 'reset');
   }
 
   /** @internal */
   private stop(end: AttemptEnd): void {
-    const { report } = this.parts;
-    const mayDrain = report.hasHead && !report.isRelayed && this.isShort;
-    report.end(end);
-    // To read the few bytes that are left costs less than a new connection costs the target.
-    if (mayDrain) this.resumeReading?.();
-    else this.abortSending?.();
+    const { reporter } = this.parts;
+    const canDrain = reporter.hasHead && !reporter.isRelayed && this.isDrainable;
+    reporter.reportEnd(end);
+    // Reading the few remaining bytes is cheaper for the target than a new connection.
+    if (canDrain) this.resumeReading?.();
+    else this.abortRequest?.();
   }
 }
--- a/src/entry/attempts/TargetPools.ts
+++ b/src/entry/attempts/TargetPools.ts
@@ -2,51 +2,61 @@
 
 import type { CoreEvent, TargetId } from '../../core/index.js';
 
-/** Within one region a connection comes about in a millisecond; a longer wait means trouble. */
+/**
+ * Within one region a connection is established in about a millisecond; one that takes much longer
+ * indicates a fault.
+ */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** An idle connection is closed before targets, which often wait 5 s, close it under a request. */
-const KEEP_ALIVE_MS = 4_000;
+/**
+ * Idle connections are closed after this time. Targets often close theirs after 5 s, and one that
+ * does so while a request is being sent leaves it unknown whether the request ran.
+ */
+const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
 interface TargetPool {
   readonly address: string;
   readonly pool: Pool;
 }
 
-/** Connections to targets. How many requests go out at once, and so how many connections, is the core's. */
+/**
+ * Connection pools of the targets. The pools have no size limit: the core limits the concurrent
+ * requests to each target, and thereby the connections.
+ */
 export class TargetPools {
   /** @internal */
   private readonly pools = new Map<TargetId, TargetPool>();
 
-  /** @param dispatch - Told of connections that open and close. */
+  /** @param dispatch - Receives an event for each connection that opens or closes. */
   constructor(private readonly dispatch: (event: CoreEvent) => void) {}
 
   /**
-   * The connections to a target.
+   * Gets the connection pool of a target, and opens it if there is none. If the target's address
+   * has changed, the old pool is closed.
    * @param target - The target.
-   * @param address - IP number and port.
+   * @param address - Address of the target, as `IP:port`.
    */
   get(target: TargetId, address: string): Pool {
-    const known = this.pools.get(target);
-    if (known?.address === address) return known.pool;
-    if (known !== undefined) this.close(target);
+    const existing = this.pools.get(target);
+    if (existing?.address === address) return existing.pool;
+    if (existing !== undefined) this.close(target);
     const pool = this.open(target, address);
     this.pools.set(target, { address, pool });
     return pool;
   }
 
   /**
-   * Closes a target's idle connections now and the others when their requests end.
+   * Closes a target's idle connections immediately, and each of the others when its request ends.
    * @param target - The target.
    */
   close(target: TargetId): void {
-    const known = this.pools.get(target);
-    if (known === undefined) return;
+    const existing = this.pools.get(target);
+    if (existing === undefined) return;
     this.pools.delete(target);
-    known.pool.close().catch(() => {});
+    existing.pool.close().catch(() => {});
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately and aborts their requests. */
   async destroy(): Promise<void> {
     const pools = [...this.pools.values()];
     this.pools.clear();
@@ -58,15 +68,15 @@
     const pool = new Pool(`http://${address}`, {
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     });
-    pool.on('connect', () => this.tell(target, 'opened'));
-    pool.on('disconnect', () => this.tell(target, 'closed'));
+    pool.on('connect', () => this.reportConnectionChange(target, 'opened'));
+    pool.on('disconnect', () => this.reportConnectionChange(target, 'closed'));
     return pool;
   }
 
   /** @internal */
-  private tell(target: TargetId, change: 'opened' | 'closed'): void {
+  private reportConnectionChange(target: TargetId, change: 'opened' | 'closed'): void {
     this.dispatch({ kind: 'connectionChanged', target, change });
   }
 }
--- a/src/entry/attempts/loadReport.ts
+++ b/src/entry/attempts/loadReport.ts
@@ -10,7 +10,7 @@
 }
 
 /**
- * What a target says of itself in an answer's headers; undefined if nothing.
+ * Reads the load report from an answer's headers; undefined if the target sent none.
  * @param headers - The answer's headers.
  * @example
  * readLoadReport(cleanHeaders(['Masticlink-Load', '0.5'])); // { load: 0.5, ... }
@@ -26,7 +26,8 @@
 }
 
 /**
- * When a target says to come back, in milliseconds; undefined if it doesn't say, or names a date.
+ * Reads the Retry-After header in milliseconds; undefined if it is absent or isn't a number of
+ * seconds, such as an HTTP date.
  * @param headers - The answer's headers.
  */
 export function readRetryAfterMs(headers: CleanHeaders): number | undefined {
--- a/src/entry/effectRunners.ts
+++ b/src/entry/effectRunners.ts
@@ -2,20 +2,20 @@
 import type { Logger } from '../logging/Logger.js';
 import type { PeerClient } from '../peers/index.js';
 import type { StoreClient } from '../store/index.js';
-import type { Attempts } from './attempts/Attempts.js';
+import type { AttemptRunner } from './attempts/AttemptRunner.js';
 import type { TargetPools } from './attempts/TargetPools.js';
 import type { Exchanges } from './exchange/Exchanges.js';
 import type { EntryMetrics } from './metrics/EntryMetrics.js';
-import type { Prober } from './Prober.js';
-import type { Loop } from './Loop.js';
+import type { HealthProber } from './HealthProber.js';
+import type { EventLoop } from './EventLoop.js';
 
-/** What carries the effects out. */
+/** Components that run the core's effects. */
 export interface EffectParts {
-  readonly loop: Pick<Loop, 'dispatch'>;
-  readonly attempts: Attempts;
+  readonly eventLoop: Pick<EventLoop, 'dispatch'>;
+  readonly attempts: AttemptRunner;
   readonly exchanges: Exchanges;
   readonly pools: TargetPools;
-  readonly prober: Prober;
+  readonly prober: HealthProber;
   readonly store: StoreClient;
   readonly peers: PeerClient;
   readonly metrics: EntryMetrics;
@@ -23,13 +23,13 @@
   readonly onExit: () => void;
 }
 
-/** Carries out one kind of effect. */
-type Runner<K extends Effect['kind']> = (
+/** Runs effects of one kind. */
+type EffectRunner<K extends Effect['kind']> = (
   effect: Extract<Effect, { kind: K }>,
   parts: EffectParts,
 ) => void;
 
-type Runners = { readonly [K in Effect['kind']]: Runner<K> };
+type EffectRunners = { readonly [K in Effect['kind']]: EffectRunner<K> };
 
 const LOG_METHODS: Record<LogLevel, (logger: Logger, part: string, text: string) => void> = {
   debug: (logger, part, text) => logger.debug(part, text),
@@ -38,7 +38,7 @@
   error: (logger, part, text) => logger.error(part, text),
 };
 
-const RUNNERS: Runners = {
+const EFFECT_RUNNERS: EffectRunners = {
   sendAttempt: (effect, { attempts }) => attempts.send(effect),
   cancelAttempt: ({ attempt }, { attempts }) => attempts.cancel(attempt),
   relayAnswer: ({ request, attempt }, { attempts, exchanges }) => {
@@ -49,10 +49,10 @@
   replayAnswer: ({ request, answer }, { exchanges }) => exchanges.get(request)?.replay(answer),
   abortRequest: ({ request }, { exchanges }) => exchanges.get(request)?.abort(),
   probe: (effect, { prober }) => prober.probe(effect),
-  callStore: ({ call, op }, { store, loop }) => {
+  callStore: ({ call, op }, { store, eventLoop }) => {
     store
       .call(op)
-      .then((result) => loop.dispatch({ kind: 'storeAnswered', call, result }))
+      .then((result) => eventLoop.dispatch({ kind: 'storeAnswered', call, result }))
       .catch(() => {});
   },
   sendPeer: ({ peer, peerAddress, message }, { peers }) => peers.send(peer, peerAddress, message),
@@ -60,14 +60,14 @@
   log: ({ level, part, text }, { logger }) => LOG_METHODS[level](logger, part, text),
   count: ({ metric, labels, by }, { metrics }) => metrics.count(metric, labels, by),
   exit: (_effect, { onExit }) => onExit(),
-  raise: ({ event }, { loop }) => loop.dispatch(event),
+  raise: ({ event }, { eventLoop }) => eventLoop.dispatch(event),
 };
 
 /**
- * Carries out an effect.
- * @param effect - What the core decided.
- * @param parts - What carries it out.
+ * Runs an effect.
+ * @param effect - The effect returned by the reducer.
+ * @param parts - The components that run it.
  */
 export function runEffect(effect: Effect, parts: EffectParts): void {
-  RUNNERS[effect.kind](effect as never, parts);
+  EFFECT_RUNNERS[effect.kind](effect as never, parts);
 }
--- a/src/entry/errors.ts
+++ b/src/entry/errors.ts
@@ -1,16 +1,16 @@
 import ModernError from 'modern-errors';
 
-/** Any error of the entry process. */
+/** Base class of the entry process's errors. */
 export const EntryError = ModernError.subclass('EntryError');
 
-/** The process could not begin to serve. */
+/** The process could not start. */
 export const StartError = EntryError.subclass('StartError');
 
 /**
- * Makes the error for an address that can't be listened on.
- * @param address - IP number and port.
- * @param cause - The system's own error.
+ * Creates the error for a caller address that can't be listened on.
+ * @param address - The address as `host:port`.
+ * @param cause - The error of the operating system.
  */
 export function createListenError(address: string, cause: unknown): Error {
-  return new StartError(`the callers' address ${address} can't be listened on`, { cause });
+  return new StartError(`can't listen for callers on ${address}`, { cause });
 }
--- a/src/entry/exchange/CallerGate.ts
+++ b/src/entry/exchange/CallerRequestHandler.ts
@@ -14,14 +14,14 @@
 import { getProblemHeaders, writeProblemBody } from './problem.js';
 import type { ServiceFinder } from './ServiceFinder.js';
 
-/** What the gate works with. */
-export interface CallerGateParts {
+/** Dependencies of the caller request handler. */
+export interface CallerRequestHandlerParts {
   readonly clock: Clock;
   readonly bounds: BodyBounds;
   readonly exchanges: Exchanges;
   readonly finder: ServiceFinder;
   readonly dispatch: (event: CoreEvent) => void;
-  /** Told how long each request took, in milliseconds. */
+  /** Called with the duration of each request when it ends, in milliseconds. */
   readonly onEnded: (exchange: HttpExchange, milliseconds: number) => void;
 }
 
@@ -31,7 +31,7 @@
   detail: 'the request body is larger than this entry VM takes',
 };
 
-function refuse(req: IncomingMessage, res: ServerResponse, problem: Problem): void {
+function refuseRequest(req: IncomingMessage, res: ServerResponse, problem: Problem): void {
   const body = writeProblemBody(problem);
   const headers = getProblemHeaders(problem, body.length);
   res.writeHead(problem.status, headers);
@@ -44,14 +44,14 @@
   return transferEncoding !== undefined;
 }
 
-function readDeadline({ deadlineMs }: CleanHeaders, now: number): number | undefined {
+function readDeadlineAt({ deadlineMs }: CleanHeaders, now: number): number | undefined {
   if (deadlineMs === undefined) return undefined;
-  const remaining = Number(deadlineMs);
-  return Number.isFinite(remaining) && remaining >= 0 ? now + remaining : undefined;
+  const remainingMs = Number(deadlineMs);
+  return Number.isFinite(remainingMs) && remainingMs >= 0 ? now + remainingMs : undefined;
 }
 
-/** Adds what tells the target whose request it is and how it came. */
-function extend(clean: CleanHeaders, req: IncomingMessage): string[] {
+/** Adds the `Via` and `X-Forwarded-For` headers. */
+function addForwardingHeaders(clean: CleanHeaders, req: IncomingMessage): string[] {
   const { headers, via, forwardedFor } = clean;
   const ip = req.socket.remoteAddress ?? 'unknown';
   headers.push('Via', via === undefined ? '1.1 masticlink' : `${via}, 1.1 masticlink`);
@@ -60,13 +60,13 @@
 }
 
 function checkHead(req: IncomingMessage, clean: CleanHeaders): Problem | undefined {
-  const hasManyHosts = clean.host?.includes(',') === true;
-  if (hasManyHosts || !(req.url as string).startsWith('/')) {
+  const hasSeveralHosts = clean.host?.includes(',') === true;
+  if (hasSeveralHosts || !(req.url as string).startsWith('/')) {
     return {
       status: 400,
       outcome: 'not-run',
       code: 'malformed-request',
-      detail: hasManyHosts
+      detail: hasSeveralHosts
         ? 'the request has more than one Host header; send one'
         : 'the request target must be a path that begins with a slash',
     };
@@ -83,94 +83,94 @@
   return undefined;
 }
 
-/** A request whose head is read. */
-interface ArrivalHead {
+/** A request whose head has been read. */
+interface IncomingHead {
   readonly service: ServiceName;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly clean: CleanHeaders;
-  /** When its head came, monotonic milliseconds. */
-  readonly now: number;
+  /** When the head was read, in monotonic milliseconds. */
+  readonly arrivedAt: number;
 }
 
-/** A request whose body is here as far as it is waited for. */
-interface Arrival extends ArrivalHead {
+/** A request whose body has been collected, or its first part if it is streamed. */
+interface IncomingRequest extends IncomingHead {
   readonly body: RequestBody;
 }
 
-/** What makes two requests the same: method and path; with a request key, the body too. */
+/** Identifies identical requests by method and path and, if there is an idempotency key, body. */
 function getFingerprint(method: string, path: string, body: RequestBody | undefined): string {
   if (body === undefined) return `${method} ${path}`;
   const hash = createHash('sha256').update(method).update(' ').update(path).update('\n');
   return hash.update(body.getWhole() ?? '').digest('base64url');
 }
 
-/** Takes callers' requests from the HTTP server and announces them to the core. */
-export class CallerGate {
-  /** @param parts - What the gate works with. */
-  constructor(private readonly parts: CallerGateParts) {}
+/** Accepts callers' requests from the HTTP server and dispatches their arrival to the core. */
+export class CallerRequestHandler {
+  /** @param parts - Dependencies. */
+  constructor(private readonly parts: CallerRequestHandlerParts) {}
 
   /**
-   * Takes a request for a service; false if it is for one of the process's own pages.
-   * @param req - The request, its head read.
-   * @param res - Its answer.
-   * @param awaitsContinue - Whether its caller sends the body only when told to.
-   * @param heldMs - How long ago it was read, in milliseconds.
+   * Accepts a request for a service; returns false if the request is for the process API.
+   * @param req - The request; its head has been read.
+   * @param res - The request's answer.
+   * @param hasExpectContinue - Whether the caller sends the body only after a `100 Continue`.
+   * @param queuedMs - Time since the request was read, in milliseconds.
    */
   accept(
     req: IncomingMessage,
     res: ServerResponse,
-    awaitsContinue: boolean,
-    heldMs: number,
+    hasExpectContinue: boolean,
+    queuedMs: number,
   ): boolean {
     const clean = cleanHeaders(req.rawHeaders);
     const service = this.parts.finder.find(clean.host ?? '', req.url as string);
     if (service === undefined) return false;
-    const now = this.parts.clock.now() - heldMs;
-    this.take({ service, req, res, clean, now }, awaitsContinue);
+    const arrivedAt = this.parts.clock.now() - queuedMs;
+    this.collectBody({ service, req, res, clean, arrivedAt }, hasExpectContinue);
     return true;
   }
 
   /** @internal */
-  private take(head: ArrivalHead, awaitsContinue: boolean): void {
+  private collectBody(head: IncomingHead, hasExpectContinue: boolean): void {
     const { req, res, clean } = head;
     const problem = checkHead(req, clean);
     if (problem !== undefined) {
-      refuse(req, res, problem);
+      refuseRequest(req, res, problem);
       return;
     }
     const length = clean.contentLength === undefined ? undefined : Number(clean.contentLength);
     const body = new RequestBody(hasBody(clean) ? req : undefined, this.parts.bounds, length);
     if (body.isDeclaredTooLarge) {
-      refuse(req, res, { ...BODY_TOO_LARGE, outcome: 'not-run' });
+      refuseRequest(req, res, { ...BODY_TOO_LARGE, outcome: 'not-run' });
       return;
     }
-    if (awaitsContinue) res.writeContinue();
+    if (hasExpectContinue) res.writeContinue();
     body.collect(clean.key !== undefined, (outcome) => {
-      if (outcome === 'ready') this.announce({ ...head, body });
-      else refuse(req, res, { ...BODY_TOO_LARGE, outcome: 'not-run' });
+      if (outcome === 'ready') this.dispatchArrival({ ...head, body });
+      else refuseRequest(req, res, { ...BODY_TOO_LARGE, outcome: 'not-run' });
     });
   }
 
   /** @internal */
-  private announce(arrival: Arrival): void {
-    const { service, req, res, clean, body, now } = arrival;
+  private dispatchArrival(incoming: IncomingRequest): void {
+    const { service, req, res, clean, body, arrivedAt } = incoming;
     const { key } = clean;
     const { exchanges, dispatch } = this.parts;
     const method = req.method as string;
     const path = req.url as string;
-    const deadlineAt = readDeadline(clean, now);
+    const deadlineAt = readDeadlineAt(clean, arrivedAt);
     const caller = clean.caller ?? req.socket.remoteAddress ?? 'unknown';
     const fingerprint = getFingerprint(method, path, key === undefined ? undefined : body);
-    const head = { method, path, headers: extend(clean, req) };
-    const id = exchanges.takeId();
+    const head = { method, path, headers: addForwardingHeaders(clean, req) };
+    const id = exchanges.createId();
     const parts = { id, service, caller, fingerprint, key, head, body };
     const exchange = new HttpExchange(parts, req, res);
     exchanges.add(exchange);
     res.on('close', () => {
       exchanges.remove(id);
-      this.parts.onEnded(exchange, this.parts.clock.now() - now);
-      // Before the answer is all out, a closed connection is a caller that hung up.
+      this.parts.onEnded(exchange, this.parts.clock.now() - arrivedAt);
+      // If the answer isn't completely sent, the caller has disconnected.
       if (!res.writableFinished) dispatch({ kind: 'requestCancelled', request: id });
     });
     dispatch({
@@ -186,8 +186,8 @@
   }
 
   /**
-   * Ends a request whose body grew beyond its bound after a part of it went to a target.
-   * @param id - The request's number.
+   * Ends a request whose body exceeded the size limit after a part of it was sent to a target.
+   * @param id - ID of the request.
    */
   refuseLargeBody(id: number): void {
     const exchange = this.parts.exchanges.get(id);
--- a/src/entry/exchange/Exchange.ts
+++ b/src/entry/exchange/Exchange.ts
@@ -10,7 +10,7 @@
 import type { RawHeaders } from './headers.js';
 import type { RequestBody } from './RequestBody.js';
 
-/** A request's head, as it goes on to a target or peer. */
+/** A request's head, as it is sent on to a target or peer. */
 export interface RequestHead {
   readonly method: string;
   /** Path and query. */
@@ -19,51 +19,54 @@
   readonly headers: RawHeaders;
 }
 
-/** The target that an answer comes from. */
+/** The target that produced an answer. */
 export interface AnswerOrigin {
   readonly target: TargetId;
   readonly zone: ZoneName;
 }
 
-/** An answer's head, as it goes on to the caller. */
+/** An answer's head, as it is relayed to the caller. */
 export interface AnswerHead {
   readonly status: number;
   /** Without hop-by-hop headers. */
   readonly headers: RawHeaders;
   readonly contentType: string | undefined;
-  /** Size of the body in bytes, if the head tells it. */
+  /** Size of the body in bytes, if the head declares it. */
   readonly contentLength?: number;
-  /** The answer's end shows only in the end of its connection, so the caller's must show it too. */
+  /**
+   * Whether only the close of the connection marks the end of the answer. The connection to the
+   * caller must then be closed too.
+   */
   readonly endsWithConnection: boolean;
-  /** Absent if a peer made the answer itself. */
+  /** Absent if the peer generated the answer itself. */
   readonly origin?: AnswerOrigin;
-  /** Set if a peer made the answer itself. */
+  /** Set if the peer generated the answer itself. */
   readonly ownOutcome?: LocalOutcome;
 }
 
-/** Where an answer comes from; it sends nothing more after a refused `write` until resumed. */
+/** Source of an answer. After a `write` that returned false, it pauses until it is resumed. */
 export interface AnswerSource {
   resume(): void;
 }
 
-/** Where an answer goes. */
+/** Destination of an answer. */
 export interface AnswerSink {
   /**
    * Sends the head.
    * @param head - Status and headers.
-   * @param source - To be resumed when there is room again.
+   * @param source - Resumed when the sink has room again.
    */
   begin(head: AnswerHead, source: AnswerSource): void;
   /**
-   * Sends a piece of the body; false if the source is to wait for `resume`.
-   * @param chunk - The piece.
+   * Sends a chunk of the body; returns false if the source must pause until it is resumed.
+   * @param chunk - The chunk.
    */
   write(chunk: Buffer): boolean;
-  /** All of the answer was written. */
+  /** Ends the answer, once all of it has been written. */
   end(): void;
 }
 
-/** One request at this process and the one who waits for its answer: a caller, or a peer. */
+/** A request at this process, and the connection to the caller or peer that awaits its answer. */
 export interface Exchange extends AnswerSink {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -74,15 +77,15 @@
   readonly head: RequestHead;
   readonly body: RequestBody;
   /**
-   * Answers in masticlink's own name.
-   * @param answer - What to say.
+   * Sends an answer that masticlink generated.
+   * @param answer - The answer.
    */
   answer(answer: LocalAnswer): void;
   /**
-   * Answers with what was kept under the request's key.
-   * @param answer - The kept answer.
+   * Sends the answer that was stored under the request's idempotency key.
+   * @param answer - The stored answer.
    */
   replay(answer: StoredAnswer): void;
-  /** Breaks off, so that a part of an answer is not taken for the whole. */
+  /** Aborts the connection, so that a partial answer isn't mistaken for a complete one. */
   abort(): void;
 }
--- a/src/entry/exchange/Exchanges.ts
+++ b/src/entry/exchange/Exchanges.ts
@@ -1,7 +1,7 @@
 import type { RequestId } from '../../core/index.js';
 import type { Exchange } from './Exchange.js';
 
-/** The requests that are at this process, by number. */
+/** The open requests at this process, by ID. */
 export class Exchanges {
   /** @internal */
   private readonly byId = new Map<RequestId, Exchange>();
@@ -9,19 +9,19 @@
   /** @internal */
   private lastId = 0;
 
-  /** A number that no request has had. */
-  takeId(): RequestId {
+  /** Gets an ID that no request has had. */
+  createId(): RequestId {
     this.lastId += 1;
     return this.lastId;
   }
 
-  /** How many there are. */
+  /** Number of open requests. */
   get size(): number {
     return this.byId.size;
   }
 
   /**
-   * Adds one.
+   * Adds a request.
    * @param exchange - The request.
    */
   add(exchange: Exchange): void {
@@ -29,16 +29,16 @@
   }
 
   /**
-   * Takes one away, once its caller has its answer or is gone.
-   * @param id - The request's number.
+   * Removes a request that was answered or whose caller disconnected.
+   * @param id - ID of the request.
    */
   remove(id: RequestId): void {
     this.byId.delete(id);
   }
 
   /**
-   * One of them; undefined if its caller is gone.
-   * @param id - The request's number.
+   * Gets a request; undefined if it was answered or its caller disconnected.
+   * @param id - ID of the request.
    */
   get(id: RequestId): Exchange | undefined {
     return this.byId.get(id);
--- a/src/entry/exchange/FrameBody.ts
+++ b/src/entry/exchange/FrameBody.ts
@@ -2,28 +2,28 @@
 
 import type { IncomingPeerCall } from '../../peers/index.js';
 
-/** A forwarded request's body as it comes in frames, no faster than it is read. */
+/** The body of a forwarded request, read from its frames with backpressure. */
 export class FrameBody extends Readable {
-  /** @param call - The call that the frames come by. */
+  /** @param call - The call that delivers the frames. */
   constructor(private readonly call: IncomingPeerCall) {
     super();
   }
 
-  // eslint-disable-next-line no-underscore-dangle -- node's name for what a stream overrides.
+  // eslint-disable-next-line no-underscore-dangle -- Node's name for an overridable stream method.
   override _read(): void {
     this.call.resume();
   }
 
   /**
-   * Takes a frame's bytes.
+   * Pushes the bytes of a frame.
    * @param data - The bytes.
    */
-  takeBytes(data: Uint8Array): void {
+  pushBytes(data: Uint8Array): void {
     const chunk = Buffer.from(data.buffer, data.byteOffset, data.byteLength);
     if (!this.push(chunk)) this.call.pause();
   }
 
-  /** The body is whole. */
+  /** Ends the stream, once the body is complete. */
   finish(): void {
     this.push(null);
   }
--- a/src/entry/exchange/HttpExchange.ts
+++ b/src/entry/exchange/HttpExchange.ts
@@ -17,7 +17,7 @@
 
 type ServiceOutcome = RequestOutcome['outcome'];
 
-/** What is known of a caller's request once its head is read. */
+/** The data of a caller's request. */
 export interface HttpExchangeParts {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -28,21 +28,21 @@
   readonly body: RequestBody;
 }
 
-/** Answers up to this size go out in one piece, in bytes. */
+/** Maximum body size of an answer whose head and body are sent in one write, in bytes. */
 const SMALL_ANSWER_BYTES = 4 * 1024;
 
 const FIRST_ERROR_STATUS = 500;
 
-function judgeOwn(outcome: LocalOutcome): ServiceOutcome {
+function classifyLocalOutcome(outcome: LocalOutcome): ServiceOutcome {
   return outcome === 'not-run' ? 'refused' : 'failed';
 }
 
-function judgeRelayed(head: AnswerHead): ServiceOutcome {
-  if (head.ownOutcome != null) return judgeOwn(head.ownOutcome);
+function classifyRelayedAnswer(head: AnswerHead): ServiceOutcome {
+  if (head.ownOutcome != null) return classifyLocalOutcome(head.ownOutcome);
   return head.status < FIRST_ERROR_STATUS ? 'answered' : 'failed';
 }
 
-/** A caller's request over HTTP. */
+/** A caller's HTTP request and its answer. */
 export class HttpExchange implements Exchange {
   readonly id: RequestId;
 
@@ -64,22 +64,22 @@
   /** @internal */
   private isAborted = false;
 
-  /** Size that the answer's head tells, in bytes. @internal */
-  private wholeLength = Number.POSITIVE_INFINITY;
+  /** Body size that the answer's head declares, in bytes. @internal */
+  private declaredLength = Number.POSITIVE_INFINITY;
 
-  /** A small answer's body, kept until its end so that it goes out with the head. @internal */
-  private small: Buffer | undefined;
+  /** Body of a small answer, held back until its end so that it is sent with the head. @internal */
+  private smallBody: Buffer | undefined;
 
-  /** How the caller was served; undefined until it has all of its answer. @internal */
+  /** Outcome of the answer; undefined until an answer begins. @internal */
   private outcome: ServiceOutcome | undefined;
 
-  /** Target that the answer came from, if one did. */
+  /** Target that the answer came from; undefined for an answer that masticlink generated. */
   origin: AnswerOrigin | undefined;
 
   /**
-   * @param parts - What the request's head says.
+   * @param parts - The request's data.
    * @param req - The request.
-   * @param res - Its answer.
+   * @param res - The request's answer.
    */
   constructor(
     parts: HttpExchangeParts,
@@ -99,21 +99,21 @@
     if (this.isAborted) return;
     this.source = source;
     this.origin = head.origin;
-    this.outcome = judgeRelayed(head);
+    this.outcome = classifyRelayedAnswer(head);
     if (head.endsWithConnection) {
       this.res.useChunkedEncodingByDefault = false;
       this.res.shouldKeepAlive = false;
     }
     this.writeHead(head.status, head.headers);
-    this.wholeLength = head.contentLength ?? Number.POSITIVE_INFINITY;
-    // Node keeps the head back until the body's first bytes, which may be long in coming.
-    if (this.wholeLength > SMALL_ANSWER_BYTES) process.nextTick(this.flushHead);
+    this.declaredLength = head.contentLength ?? Number.POSITIVE_INFINITY;
+    // Node holds the head back until the first bytes of the body, which may be delayed.
+    if (this.declaredLength > SMALL_ANSWER_BYTES) process.nextTick(this.flushHead);
   }
 
   write(chunk: Buffer): boolean {
     if (this.isAborted) return true;
-    if (chunk.length === this.wholeLength && chunk.length <= SMALL_ANSWER_BYTES) {
-      this.small = chunk;
+    if (chunk.length === this.declaredLength && chunk.length <= SMALL_ANSWER_BYTES) {
+      this.smallBody = chunk;
       return true;
     }
     const hasRoom = this.res.write(chunk);
@@ -123,11 +123,11 @@
 
   end(): void {
     if (this.isAborted) return;
-    const { small } = this;
-    // As text, node writes head and body in one piece: a small answer costs one system call.
-    if (small === undefined) this.res.end();
-    else this.res.end(small.toString('latin1'), 'latin1');
-    this.finishRequest();
+    const { smallBody } = this;
+    // Node joins the head with a body that is a string, so a small answer needs one system call.
+    if (smallBody === undefined) this.res.end();
+    else this.res.end(smallBody.toString('latin1'), 'latin1');
+    this.drainRequest();
   }
 
   answer(answer: LocalAnswer): void {
@@ -135,17 +135,17 @@
   }
 
   /**
-   * Answers with an error.
-   * @param problem - What to tell.
+   * Answers with an error, unless an answer has begun.
+   * @param problem - The error.
    */
   answerProblem(problem: Problem): void {
     if (this.isAborted || this.res.headersSent) return;
-    this.outcome = judgeOwn(problem.outcome);
+    this.outcome = classifyLocalOutcome(problem.outcome);
     const body = writeProblemBody(problem);
     const headers = getProblemHeaders(problem, body.length);
     this.writeHead(problem.status, headers);
     this.res.end(this.req.method === 'HEAD' ? undefined : body);
-    this.finishRequest();
+    this.drainRequest();
   }
 
   replay(answer: StoredAnswer): void {
@@ -156,10 +156,10 @@
     if (answer.contentType !== '') headers.push('Content-Type', answer.contentType);
     this.writeHead(answer.status, headers);
     this.res.end(body);
-    this.finishRequest();
+    this.drainRequest();
   }
 
-  /** How the caller was served; undefined if it hung up before its answer was all out. */
+  /** How the caller was served; undefined if it disconnected before its answer was sent. */
   getOutcome(): ServiceOutcome | undefined {
     if (this.isAborted) return 'failed';
     return this.res.writableFinished ? this.outcome : undefined;
@@ -167,7 +167,7 @@
 
   abort(): void {
     this.isAborted = true;
-    // Ending cleanly would show the caller a cut answer as whole; a reset can't be mistaken.
+    // With a clean end, the caller might mistake a truncated answer for a complete one.
     if (this.res.headersSent) this.res.socket?.resetAndDestroy();
     else this.res.destroy();
   }
@@ -188,7 +188,7 @@
   }
 
   /** @internal */
-  private finishRequest(): void {
+  private drainRequest(): void {
     if (!this.req.complete) linger(this.req, this.res);
   }
 }
--- a/src/entry/exchange/PeerExchange.ts
+++ b/src/entry/exchange/PeerExchange.ts
@@ -10,13 +10,13 @@
 import { getProblemHeaders, PROBLEM_TYPE, writeProblemBody } from './problem.js';
 import type { RequestBody } from './RequestBody.js';
 
-/** What is known of a forwarded request. */
+/** The data of a forwarded request. */
 export interface PeerExchangeParts {
   readonly id: RequestId;
   readonly head: ForwardHead;
   readonly body: RequestBody;
   readonly call: IncomingPeerCall;
-  /** How the service stands here, told with each answer. */
+  /** Gets the spare capacity of the service at this process, which is sent with each answer. */
   readonly getSpare: () => ServiceSpare | undefined;
 }
 
@@ -36,13 +36,13 @@
 
   readonly body: RequestBody;
 
-  /** Whether the answer is all written, or broken off. */
+  /** Whether the answer was completed or aborted. */
   isDone = false;
 
   /** @internal */
   private readonly call: IncomingPeerCall;
 
-  /** @param parts - What is known of the request. */
+  /** @param parts - The request's data. */
   constructor(private readonly parts: PeerExchangeParts) {
     const { head } = parts;
     this.id = parts.id;
--- a/src/entry/exchange/PeerGate.ts
+++ b/src/entry/exchange/PeerRequestHandler.ts
@@ -11,9 +11,9 @@
 import type { BodyBounds } from './RequestBody.js';
 import { RequestBody } from './RequestBody.js';
 
-/** What the gate works with. */
-export interface PeerGateParts {
-  /** Read only. */
+/** Dependencies of the peer request handler. */
+export interface PeerRequestHandlerParts {
+  /** Read-only. */
   readonly state: EntryState;
   readonly clock: Clock;
   readonly bounds: BodyBounds;
@@ -21,19 +21,19 @@
   readonly dispatch: (event: CoreEvent) => void;
 }
 
-function refuse(call: IncomingPeerCall, details: string): void {
+function refuseCall(call: IncomingPeerCall, details: string): void {
   call.emit('error', { code: status.INVALID_ARGUMENT, details });
 }
 
-/** Takes requests that other entry VMs forward and announces them to the core. */
-export class PeerGate {
-  /** @param parts - What the gate works with. */
-  constructor(private readonly parts: PeerGateParts) {}
+/** Accepts requests forwarded by other entry VMs and dispatches their arrival to the core. */
+export class PeerRequestHandler {
+  /** @param parts - Dependencies. */
+  constructor(private readonly parts: PeerRequestHandlerParts) {}
 
   /**
-   * Takes a forwarded request.
-   * @param from - The member that forwards.
-   * @param call - Its frames.
+   * Accepts a forwarded request.
+   * @param from - The member that forwards the request.
+   * @param call - The call that delivers the request's frames.
    */
   accept(from: EntryVmId, call: IncomingPeerCall): void {
     let body: FrameBody | undefined;
@@ -42,29 +42,29 @@
     call.on('data', (value: unknown) => {
       const frame = checkForwardFrame(value);
       if (frame === undefined || (frame.kind === 'head') === hasHead) {
-        refuse(call, 'a frame of a forwarded request does not have the shape of one');
+        refuseCall(call, 'a frame of a forwarded request does not have the shape of one');
         return;
       }
       if (frame.kind === 'head') {
         hasHead = true;
         isBodyWhole = frame.body != null;
         body = isBodyWhole ? undefined : new FrameBody(call);
-        this.announce(from, call, frame, body);
-      } else if (frame.kind === 'body') body?.takeBytes(frame.data);
+        this.dispatchArrival(from, call, frame, body);
+      } else if (frame.kind === 'body') body?.pushBytes(frame.data);
       else {
         isBodyWhole = true;
         body?.finish();
       }
     });
     call.on('end', () => {
-      // A stream that ends without its end frame was broken off: the body is not whole.
-      if (!isBodyWhole) body?.destroy(new Error('the forwarded request body was broken off'));
+      // A stream that ends without an end frame was aborted: the body is incomplete.
+      if (!isBodyWhole) body?.destroy(new Error('the forwarded request body is incomplete'));
     });
     call.on('error', () => body?.destroy());
   }
 
   /** @internal */
-  private announce(
+  private dispatchArrival(
     from: EntryVmId,
     call: IncomingPeerCall,
     head: ForwardHead,
@@ -76,20 +76,20 @@
       stream === undefined
         ? RequestBody.fromWhole(Buffer.from(head.body ?? []), bounds)
         : new RequestBody(stream, bounds, head.contentLength ?? undefined);
-    const id = exchanges.takeId();
+    const id = exchanges.createId();
     const getSpare = () => getServiceSpare(state, head.service);
     const exchange = new PeerExchange({ id, head, body, call, getSpare });
-    let isAnnounced = false;
+    let hasDispatched = false;
     call.on('cancelled', () => {
       exchanges.remove(id);
       stream?.destroy();
-      if (isAnnounced && !exchange.isDone) dispatch({ kind: 'requestCancelled', request: id });
+      if (hasDispatched && !exchange.isDone) dispatch({ kind: 'requestCancelled', request: id });
       exchange.isDone = true;
     });
     call.on('finish', () => exchanges.remove(id));
     body.collect(false, () => {
       if (exchange.isDone) return;
-      isAnnounced = true;
+      hasDispatched = true;
       exchanges.add(exchange);
       dispatch({
         kind: 'requestArrived',
--- a/src/entry/exchange/RequestBody.ts
+++ b/src/entry/exchange/RequestBody.ts
@@ -2,22 +2,23 @@
 
 import { StreamedBody } from './StreamedBody.js';
 
-/** Bounds on a request's body, in bytes. */
+/** Size limits of a request's body, in bytes. */
 export interface BodyBounds {
-  /** A larger body is refused. */
+  /** Maximum size; a larger body is refused. */
   readonly bodyBytes: number;
-  /** A body up to this size is kept, so that it can be sent again. */
+  /** Maximum size of a body that is buffered, so that it can be sent again. */
   readonly replayBytes: number;
 }
 
-/** What came of collecting a body. */
+/** Outcome of collecting a body. */
 export type CollectOutcome =
-  /** It is whole here, or its first part fills the bound and the rest waits at the caller. */
+  /** `ready`: the body is complete, or its first part exceeds `replayBytes`; the rest is unread. */
   'ready' | 'tooLarge';
 
 /**
- * A request's body. It is collected up to `replayBytes` before the request is announced to the
- * core, so that a caller with a slow line holds no slot of a target while it sends a small body.
+ * A request's body. Up to `replayBytes` of it are collected before the core learns of the request,
+ * so that a caller with a slow connection doesn't occupy a slot of a target while it sends a small
+ * body.
  */
 export class RequestBody {
   /** @internal */
@@ -30,15 +31,15 @@
   private isWhole: boolean;
 
   /** @internal */
-  private isRestTaken = false;
+  private hasStartedStreaming = false;
 
   /** @internal */
   private wholeBuffer: Buffer | undefined;
 
   /**
-   * @param source - Where the body comes from; undefined if the request has none.
-   * @param bounds - Bounds in bytes.
-   * @param contentLength - What the request's head says, if it says so.
+   * @param source - Stream of the body; undefined if the request has none.
+   * @param bounds - Size limits.
+   * @param contentLength - Size that the request's head declares, if it does.
    */
   constructor(
     private readonly source: Readable | undefined,
@@ -49,9 +50,9 @@
   }
 
   /**
-   * A body that is all here already.
+   * Creates a body that is already complete.
    * @param bytes - The body; empty if the request has none.
-   * @param bounds - Bounds in bytes.
+   * @param bounds - Size limits.
    */
   static fromWhole(bytes: Buffer, bounds: BodyBounds): RequestBody {
     const body = new RequestBody(undefined, bounds, bytes.length);
@@ -59,50 +60,50 @@
     return body;
   }
 
-  /** Whether the body can be sent again from its start. */
+  /** Whether the body can be sent again from the beginning. */
   get isReplayable(): boolean {
-    return !this.isRestTaken;
+    return !this.hasStartedStreaming;
   }
 
-  /** Whether the body is too large by what the request's head says. */
+  /** Whether the size that the request's head declares exceeds the limit. */
   get isDeclaredTooLarge(): boolean {
     return this.contentLength !== undefined && this.contentLength > this.bounds.bodyBytes;
   }
 
   /**
-   * Reads the body's first part, or the whole.
-   * @param mustBeWhole - Whether a body that doesn't fit into `replayBytes` is too large.
-   * @param done - Told once how it came out; never if the caller hangs up before.
+   * Reads the first part of the body, or all of it if it fits into `replayBytes`.
+   * @param shouldBeWhole - Whether a body that doesn't fit into `replayBytes` is too large.
+   * @param done - Called once with the outcome; never called if the caller disconnects before.
    */
-  collect(mustBeWhole: boolean, done: (outcome: CollectOutcome) => void): void {
+  collect(shouldBeWhole: boolean, done: (outcome: CollectOutcome) => void): void {
     const { source } = this;
     if (source === undefined) {
       done('ready');
       return;
     }
-    let isOver = false;
+    let hasFinished = false;
     const finish = (outcome: CollectOutcome): void => {
-      isOver = true;
+      hasFinished = true;
       done(outcome);
     };
     const onData = (chunk: Buffer): void => {
-      if (isOver) return;
+      if (hasFinished) return;
       this.chunks.push(chunk);
       this.size += chunk.length;
       if (this.size <= this.bounds.replayBytes) return;
       source.off('data', onData);
       source.pause();
-      finish(mustBeWhole || this.size > this.bounds.bodyBytes ? 'tooLarge' : 'ready');
+      finish(shouldBeWhole || this.size > this.bounds.bodyBytes ? 'tooLarge' : 'ready');
     };
     source.on('data', onData);
     source.once('end', () => {
-      if (isOver) return;
+      if (hasFinished) return;
       this.isWhole = true;
       finish('ready');
     });
   }
 
-  /** The whole body; undefined if it is not all here. Empty if the request has none. */
+  /** Gets the whole body; undefined if it isn't complete. Empty if the request has none. */
   getWhole(): Buffer | undefined {
     if (!this.isWhole) return undefined;
     this.wholeBuffer ??= this.chunks.length === 1 ? this.chunks[0] : Buffer.concat(this.chunks);
@@ -110,8 +111,9 @@
   }
 
   /**
-   * The body for one sending: null if there is none, a buffer if it is whole, else a stream.
-   * @param onTooLarge - Told if the body grows beyond `bodyBytes` while it is sent.
+   * Opens the body for one attempt: null if there is none, a buffer if it is complete, otherwise a
+   * stream.
+   * @param onTooLarge - Called if the body exceeds `bodyBytes` while it is sent.
    */
   open(onTooLarge: () => void): Buffer | Readable | null {
     const whole = this.getWhole();
@@ -120,8 +122,8 @@
       prefix: this.chunks,
       source: this.source as Readable,
       maxBytes: this.bounds.bodyBytes,
-      onRestTaken: () => {
-        this.isRestTaken = true;
+      onStreamingStarted: () => {
+        this.hasStartedStreaming = true;
       },
       onTooLarge,
     });
--- a/src/entry/exchange/ServiceFinder.ts
+++ b/src/entry/exchange/ServiceFinder.ts
@@ -1,48 +1,48 @@
 import type { EntryState, ServiceName } from '../../core/index.js';
 
-interface Prefix {
+interface ServicePathPrefix {
   readonly prefix: string;
   readonly service: ServiceName;
 }
 
-/** Paths of the process's own pages, unless the Host header names a service. */
-const OWN_PATHS = ['/v1/addresses', '/v1/admin', '/healthz', '/readyz', '/metrics'];
+/** Path prefixes of the process API; they apply unless the Host header names a service. */
+const PROCESS_API_PATHS = ['/v1/addresses', '/v1/admin', '/healthz', '/readyz', '/metrics'];
 
-/** `/bei` fits `/bei`, `/bei/x` and `/bei?x`, but not `/beignets`. */
-function startsWithSegment(path: string, prefix: string): boolean {
+/** Matches whole path segments: `/bei` matches `/bei`, `/bei/x` and `/bei?x`, not `/beignets`. */
+function hasPathPrefix(path: string, prefix: string): boolean {
   if (!path.startsWith(prefix)) return false;
   if (prefix.endsWith('/')) return true;
   const next = path[prefix.length];
   return next === undefined || next === '/' || next === '?';
 }
 
-/** Finds the service a request is for: by its Host header, else by a configured path prefix. */
+/** Finds the service of a request by its Host header or else by a configured path prefix. */
 export class ServiceFinder {
   /** @internal */
   private generation = -1;
 
   /** @internal */
-  private prefixes: readonly Prefix[] = [];
+  private prefixes: readonly ServicePathPrefix[] = [];
 
-  /** @param state - The process's state; read only. */
+  /** @param state - The process's state; read-only. */
   constructor(private readonly state: EntryState) {}
 
   /**
-   * The service that a request is for; undefined if it is for one of the process's own pages. Where
-   * nothing fits, the Host header's name is given, and the core says that no service is called so.
+   * Finds the service of a request; undefined if the request is for the process API. If no service
+   * matches, the Host header's value is returned, and the core answers that no such service exists.
    * @param host - Value of the Host header; empty if there is none.
    * @param path - Path and query.
    */
   find(host: string, path: string): ServiceName | undefined {
     const named = this.getByHost(host);
     if (named !== undefined) return named;
-    if (OWN_PATHS.some((own) => startsWithSegment(path, own))) return undefined;
+    if (PROCESS_API_PATHS.some((apiPath) => hasPathPrefix(path, apiPath))) return undefined;
     return this.getByPath(path) ?? host;
   }
 
   /**
-   * The service that a Host header names; undefined if it names none that is configured.
-   * @param host - The header's value; a port is left out of account.
+   * Gets the service that a Host header names; undefined if no service has that name.
+   * @param host - The header's value; a port is ignored.
    */
   getByHost(host: string): ServiceName | undefined {
     const { services } = this.state.configuration;
@@ -53,16 +53,16 @@
   }
 
   /**
-   * The service whose path prefix fits, the longest first; undefined if none does.
+   * Gets the service with the longest matching path prefix; undefined if none matches.
    * @param path - Path and query.
    */
   getByPath(path: string): ServiceName | undefined {
-    this.refresh();
-    return this.prefixes.find(({ prefix }) => startsWithSegment(path, prefix))?.service;
+    this.refreshPrefixes();
+    return this.prefixes.find(({ prefix }) => hasPathPrefix(path, prefix))?.service;
   }
 
   /** @internal */
-  private refresh(): void {
+  private refreshPrefixes(): void {
     const { current } = this.state.configuration;
     if (current.generation === this.generation) return;
     this.generation = current.generation;
--- a/src/entry/exchange/StreamedBody.ts
+++ b/src/entry/exchange/StreamedBody.ts
@@ -1,18 +1,18 @@
 import { Readable } from 'node:stream';
 
-/** What a streamed body is made of. */
+/** Input for a streamed body. */
 export interface StreamedBodyParts {
-  /** What was read already; kept, so that an attempt that sent nothing can be made again. */
+  /** The chunks already read; kept, so that an attempt that sent nothing can be repeated. */
   readonly prefix: readonly Buffer[];
-  /** The rest; paused. */
+  /** Stream of the remaining body; paused. */
   readonly source: Readable;
   readonly maxBytes: number;
-  /** Told when the rest begins to be read: from then on the body can't be sent again. */
-  readonly onRestTaken: () => void;
+  /** Called when the remaining body starts to be read; from then on it can't be sent again. */
+  readonly onStreamingStarted: () => void;
   readonly onTooLarge: () => void;
 }
 
-/** A large request body on its way to a target, no faster than the target takes it. */
+/** A large request body that is streamed to a target or peer with backpressure. */
 export class StreamedBody extends Readable {
   /** @internal */
   private nextChunk = 0;
@@ -23,13 +23,13 @@
   /** @internal */
   private isAttached = false;
 
-  /** @param parts - What was read, and where the rest comes from. */
+  /** @param parts - The chunks already read, and the stream of the rest. */
   constructor(private readonly parts: StreamedBodyParts) {
     super();
     this.size = parts.prefix.reduce((sum, chunk) => sum + chunk.length, 0);
   }
 
-  // eslint-disable-next-line no-underscore-dangle -- node's name for what a stream overrides.
+  // eslint-disable-next-line no-underscore-dangle -- Node's name for an overridable stream method.
   override _read(): void {
     const { prefix, source } = this.parts;
     while (this.nextChunk < prefix.length) {
@@ -41,7 +41,7 @@
     source.resume();
   }
 
-  // eslint-disable-next-line no-underscore-dangle -- node's name for what a stream overrides.
+  // eslint-disable-next-line no-underscore-dangle -- Node's name for an overridable stream method.
   override _destroy(error: Error | null, callback: (error?: Error | null) => void): void {
     const { source } = this.parts;
     source.off('data', this.onData);
@@ -53,9 +53,9 @@
 
   /** @internal */
   private attach(): void {
-    const { source, onRestTaken } = this.parts;
+    const { source, onStreamingStarted } = this.parts;
     this.isAttached = true;
-    onRestTaken();
+    onStreamingStarted();
     source.on('data', this.onData);
     source.on('end', this.onEnd);
     source.on('close', this.onClose);
@@ -65,7 +65,7 @@
   private readonly onData = (chunk: Buffer): void => {
     this.size += chunk.length;
     if (this.size > this.parts.maxBytes) {
-      this.destroy(new Error('the request body is larger than allowed'));
+      this.destroy(new Error('the request body exceeds the size limit'));
       this.parts.onTooLarge();
       return;
     }
@@ -77,10 +77,10 @@
     this.push(null);
   };
 
-  /** A caller that hangs up mid-body: a clean end here would show the target a cut body as whole. */
+  /** If the caller disconnects mid-body, a clean end would make the partial body look complete. */
   private readonly onClose = (): void => {
     if (!this.readableEnded && !this.parts.source.readableEnded) {
-      this.destroy(new Error('the caller hung up while it sent the request body'));
+      this.destroy(new Error('the caller disconnected while it sent the request body'));
     }
   };
 }
--- a/src/entry/exchange/clientErrors.ts
+++ b/src/entry/exchange/clientErrors.ts
@@ -5,15 +5,15 @@
 import type { Problem } from './problem.js';
 import { getProblemHeaders, writeProblemBody } from './problem.js';
 
-const MALFORMED: Problem = {
+const MALFORMED_REQUEST: Problem = {
   status: 400,
   outcome: 'not-run',
   code: 'malformed-request',
   detail: 'the request is not HTTP/1.1',
 };
 
-/** Problems by the code of node's parser error. */
-const PROBLEMS = new Map<string, Problem>([
+/** Problems by the code of Node's parser error. */
+const PROBLEMS_BY_ERROR_CODE = new Map<string, Problem>([
   [
     'HPE_HEADER_OVERFLOW',
     {
@@ -38,14 +38,14 @@
 export type ClientError = Error & { readonly code?: string };
 
 /**
- * What to tell a caller about bytes that are no request.
+ * Gets the problem with which a parser error is answered.
  * @param err - Node's parser error.
  */
 export function getClientProblem({ code }: ClientError): Problem {
-  return PROBLEMS.get(code ?? '') ?? MALFORMED;
+  return PROBLEMS_BY_ERROR_CODE.get(code ?? '') ?? MALFORMED_REQUEST;
 }
 
-function writeRaw(socket: Duplex, problem: Problem): void {
+function writeRawProblem(socket: Duplex, problem: Problem): void {
   const body = writeProblemBody(problem);
   const headers = [...getProblemHeaders(problem, body.length), 'Connection', 'close'];
   const lines = [`HTTP/1.1 ${problem.status} ${STATUS_CODES[problem.status] ?? ''}`];
@@ -54,8 +54,8 @@
 }
 
 /**
- * Answers what is not a request: the caller learns what is wrong, and its connection ends. No answer
- * may be owed on it, or this one would land in the middle of that.
+ * Answers a parser error with a problem and closes the connection. No earlier answer on the
+ * connection may be unfinished, since this one would be written into the middle of it.
  * @param err - Node's parser error.
  * @param socket - The caller's connection.
  */
@@ -64,16 +64,16 @@
     socket.destroy();
     return;
   }
-  writeRaw(socket, getClientProblem(err));
+  writeRawProblem(socket, getClientProblem(err));
 }
 
 /**
- * Refuses CONNECT: this is no proxy to anywhere.
+ * Refuses CONNECT requests: masticlink is no forward proxy.
  * @param _req - The request.
  * @param socket - The caller's connection.
  */
-export function answerConnect(_req: IncomingMessage, socket: Duplex): void {
-  writeRaw(socket, {
+export function refuseConnect(_req: IncomingMessage, socket: Duplex): void {
+  writeRawProblem(socket, {
     status: 501,
     outcome: 'not-run',
     code: 'upgrade-not-supported',
--- a/src/entry/exchange/headers.ts
+++ b/src/entry/exchange/headers.ts
@@ -1,8 +1,8 @@
-/** Header names and values in turn, as they came: name, value, name, value. */
+/** Header names and values, alternating, in the order received: name, value, name, value. */
 export type RawHeaders = readonly string[];
 
-/** Headers whose value masticlink itself wants to know. Repeated ones are joined by commas. */
-interface NotedHeaders {
+/** Values of the headers that masticlink itself reads. Repeated headers are joined by commas. */
+interface ExtractedHeaders {
   connection: string | undefined;
   host: string | undefined;
   contentLength: string | undefined;
@@ -19,82 +19,88 @@
   /** Masticlink-Deadline-Ms. */
   deadlineMs: string | undefined;
   retryAfter: string | undefined;
-  /** Masticlink-Load, Masticlink-Boot and Masticlink-Draining, by which targets report. */
+  /** Masticlink-Load, Masticlink-Boot and Masticlink-Draining: the load report of a target. */
   load: string | undefined;
   boot: string | undefined;
   draining: string | undefined;
 }
 
-/** What is done with a header that goes from one connection to the next. */
+/** How a header is treated: whether it is forwarded, and the field that its value is stored in. */
 interface HeaderRule {
-  readonly passes: boolean;
-  readonly field?: keyof NotedHeaders;
+  readonly isForwarded: boolean;
+  readonly field?: keyof ExtractedHeaders;
 }
 
-const PASS: HeaderRule = { passes: true };
-const DROP: HeaderRule = { passes: false };
+const FORWARD_RULE: HeaderRule = { isForwarded: true };
+const DROP_RULE: HeaderRule = { isForwarded: false };
 
-function passNoted(field: keyof NotedHeaders): HeaderRule {
-  return { passes: true, field };
+function forwardAndExtract(field: keyof ExtractedHeaders): HeaderRule {
+  return { isForwarded: true, field };
 }
 
-function dropNoted(field: keyof NotedHeaders): HeaderRule {
-  return { passes: false, field };
+function dropAndExtract(field: keyof ExtractedHeaders): HeaderRule {
+  return { isForwarded: false, field };
 }
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), are set anew, or are of interest. */
-const RULES = new Map<string, HeaderRule>([
-  ['connection', dropNoted('connection')],
-  ['keep-alive', DROP],
-  ['proxy-connection', DROP],
-  ['proxy-authenticate', DROP],
-  ['proxy-authorization', DROP],
-  ['te', DROP],
-  ['trailer', DROP],
-  ['transfer-encoding', dropNoted('transferEncoding')],
-  ['upgrade', dropNoted('upgrade')],
-  ['expect', dropNoted('expect')],
-  ['via', dropNoted('via')],
-  ['x-forwarded-for', dropNoted('forwardedFor')],
-  ['host', passNoted('host')],
-  ['content-length', passNoted('contentLength')],
-  ['content-type', passNoted('contentType')],
-  ['retry-after', passNoted('retryAfter')],
-  ['idempotency-key', passNoted('key')],
-  ['masticlink-caller', passNoted('caller')],
-  ['masticlink-deadline-ms', dropNoted('deadlineMs')],
-  ['masticlink-load', dropNoted('load')],
-  ['masticlink-boot', dropNoted('boot')],
-  ['masticlink-draining', dropNoted('draining')],
-  // Only masticlink itself says whether a request ran; a target that passes on what it heard of
-  // another request would make a false claim of this one.
-  ['masticlink-outcome', DROP],
-  ['masticlink-replayed', DROP],
+/**
+ * Rules by lowercase name, for headers that are hop-by-hop (RFC 9110, 7.6.1), that masticlink sets
+ * itself, or whose value it reads.
+ */
+const HEADER_RULES = new Map<string, HeaderRule>([
+  ['connection', dropAndExtract('connection')],
+  ['keep-alive', DROP_RULE],
+  ['proxy-connection', DROP_RULE],
+  ['proxy-authenticate', DROP_RULE],
+  ['proxy-authorization', DROP_RULE],
+  ['te', DROP_RULE],
+  ['trailer', DROP_RULE],
+  ['transfer-encoding', dropAndExtract('transferEncoding')],
+  ['upgrade', dropAndExtract('upgrade')],
+  ['expect', dropAndExtract('expect')],
+  ['via', dropAndExtract('via')],
+  ['x-forwarded-for', dropAndExtract('forwardedFor')],
+  ['host', forwardAndExtract('host')],
+  ['content-length', forwardAndExtract('contentLength')],
+  ['content-type', forwardAndExtract('contentType')],
+  ['retry-after', forwardAndExtract('retryAfter')],
+  ['idempotency-key', forwardAndExtract('key')],
+  ['masticlink-caller', forwardAndExtract('caller')],
+  ['masticlink-deadline-ms', dropAndExtract('deadlineMs')],
+  ['masticlink-load', dropAndExtract('load')],
+  ['masticlink-boot', dropAndExtract('boot')],
+  ['masticlink-draining', dropAndExtract('draining')],
+  // Only masticlink itself may state whether a request ran. A target that copies these headers from
+  // the answer to another request would make a false statement about this one.
+  ['masticlink-outcome', DROP_RULE],
+  ['masticlink-replayed', DROP_RULE],
 ]);
 
-/** Rules by name as callers and targets spell it; bounded, since callers choose the spelling. */
-const RULES_AS_SPELLED = new Map<string, HeaderRule>();
-const MAX_SPELLINGS = 1_000;
+/**
+ * Cache of rules by header name in the sender's spelling. Its size is limited, since callers choose
+ * the spelling.
+ */
+const RULES_BY_SPELLING = new Map<string, HeaderRule>();
+const MAX_CACHED_SPELLINGS = 1_000;
 
-/** Values of Connection that name no other header. */
-const PLAIN_CONNECTIONS = new Set(['keep-alive', 'close', 'Keep-Alive', 'Close']);
+/** Common values of the Connection header that name no other header. */
+const PLAIN_CONNECTION_VALUES = new Set(['keep-alive', 'close', 'Keep-Alive', 'Close']);
 
 function getRule(name: string): HeaderRule {
-  const known = RULES_AS_SPELLED.get(name);
-  if (known !== undefined) return known;
-  const rule = RULES.get(name.toLowerCase()) ?? PASS;
-  if (RULES_AS_SPELLED.size < MAX_SPELLINGS) RULES_AS_SPELLED.set(name, rule);
+  const cached = RULES_BY_SPELLING.get(name);
+  if (cached !== undefined) return cached;
+  const rule = HEADER_RULES.get(name.toLowerCase()) ?? FORWARD_RULE;
+  if (RULES_BY_SPELLING.size < MAX_CACHED_SPELLINGS) RULES_BY_SPELLING.set(name, rule);
   return rule;
 }
 
-/** Headers that may go on, and the values that are of interest. */
-export interface CleanHeaders extends Readonly<NotedHeaders> {
-  /** Headers to pass on; the owner adds to them. */
+/** The headers to forward, and the extracted values. */
+export interface CleanHeaders extends Readonly<ExtractedHeaders> {
+  /** Headers to forward; callers of `cleanHeaders` may append to them. */
   headers: string[];
 }
 
-/** Every field is there from the start: objects of one shape are faster to read. */
-function createClean(): CleanHeaders & NotedHeaders {
+/** Sets every field from the start: objects with the same shape are faster to access. */
+function createEmptyHeaders(): CleanHeaders & ExtractedHeaders {
   return {
     headers: [],
     connection: undefined,
@@ -116,7 +122,7 @@
   };
 }
 
-function removeNamed(headers: string[], connection: string): string[] {
+function removeConnectionHeaders(headers: string[], connection: string): string[] {
   const named = new Set(connection.split(',').map((token) => token.trim().toLowerCase()));
   named.delete('close');
   named.delete('keep-alive');
@@ -125,27 +131,28 @@
 }
 
 /**
- * Takes out what concerns one connection only: hop-by-hop headers and those that Connection names.
- * A request or answer that kept them could make the next server end a body at the wrong place.
- * @param raw - Headers as they came: text, or bytes as undici gives them.
+ * Removes hop-by-hop headers, including those that the Connection header names, and extracts the
+ * values that masticlink reads. A message that kept hop-by-hop headers could make the next server
+ * end a body at the wrong place.
+ * @param raw - Headers as received: strings, or buffers as undici provides them.
  * @example
  * cleanHeaders(['Host', 'horaires', 'Connection', 'close']).headers; // ['Host', 'horaires']
  */
 export function cleanHeaders(raw: readonly (string | Buffer)[]): CleanHeaders {
-  const clean = createClean();
+  const clean = createEmptyHeaders();
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i].toString('latin1' as never);
     const value = raw[i + 1].toString('latin1' as never);
     const rule = getRule(name);
-    if (rule.passes) clean.headers.push(name, value);
+    if (rule.isForwarded) clean.headers.push(name, value);
     if (rule.field !== undefined) {
-      const before = clean[rule.field];
-      clean[rule.field] = before === undefined ? value : `${before}, ${value}`;
+      const existing = clean[rule.field];
+      clean[rule.field] = existing === undefined ? value : `${existing}, ${value}`;
     }
   }
   const { connection } = clean;
-  if (connection !== undefined && !PLAIN_CONNECTIONS.has(connection)) {
-    clean.headers = removeNamed(clean.headers, connection);
+  if (connection !== undefined && !PLAIN_CONNECTION_VALUES.has(connection)) {
+    clean.headers = removeConnectionHeaders(clean.headers, connection);
   }
   return clean;
 }
--- a/src/entry/exchange/linger.ts
+++ b/src/entry/exchange/linger.ts
@@ -1,34 +1,35 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** How long the rest of a refused request's body is read and thrown away, in milliseconds. */
+/** Maximum time for reading and discarding the rest of a request's body, in milliseconds. */
 const LINGER_MS = 2_000;
 
-/** How much of it is, in bytes. */
-const LINGER_BYTES = 16 * 1024 * 1024;
+/** Maximum size of the discarded rest, in bytes. */
+const MAX_LINGER_BYTES = 16 * 1024 * 1024;
 
 /**
- * Reads what a caller still sends of a request that is answered already, within bounds. Closing at
- * once would reset the connection, and the caller would see the reset in place of the answer. While
- * answers to earlier requests of the connection are owed nothing is closed, or those would be cut.
+ * Reads and discards the rest of a request that has already been answered, within limits of time
+ * and size. Closing the connection immediately would reset it, and the caller would see the reset
+ * instead of the answer. The connection isn't closed before the answer has been sent, since that
+ * would truncate the answers to earlier requests on it.
  * @param req - The request.
- * @param res - Its answer, ended.
+ * @param res - The request's answer; already ended.
  */
 export function linger(req: IncomingMessage, res: ServerResponse): void {
   if (req.complete) return;
   const { socket } = req;
   let timer: NodeJS.Timeout | undefined;
-  let size = 0;
-  const startClock = (): void => {
-    const forMs = size > LINGER_BYTES ? 0 : LINGER_MS;
+  let discardedBytes = 0;
+  const startTimer = (): void => {
+    const delayMs = discardedBytes > MAX_LINGER_BYTES ? 0 : LINGER_MS;
     timer = setTimeout(() => {
       if (!req.complete) socket.destroy();
-    }, forMs);
+    }, delayMs);
   };
-  if (res.writableFinished) startClock();
-  else res.once('finish', startClock);
+  if (res.writableFinished) startTimer();
+  else res.once('finish', startTimer);
   req.on('data', (chunk: Buffer) => {
-    size += chunk.length;
-    if (size <= LINGER_BYTES) return;
+    discardedBytes += chunk.length;
+    if (discardedBytes <= MAX_LINGER_BYTES) return;
     if (res.writableFinished) socket.destroy();
     else req.pause();
   });
--- a/src/entry/exchange/problem.ts
+++ b/src/entry/exchange/problem.ts
@@ -1,6 +1,6 @@
 import type { LocalOutcome, ProblemCode } from '../../core/index.js';
 
-/** Why the adapter refuses a request before the core hears of it. */
+/** Codes of problems that the HTTP layer answers itself, without the core. */
 export type AdapterProblemCode =
   | 'malformed-request'
   | 'headers-too-large'
@@ -10,24 +10,24 @@
   | 'wrong-token'
   | 'not-found';
 
-/** An error as masticlink tells it to a caller, as RFC 9457 problem JSON. */
+/** An error that is sent to a caller as RFC 9457 problem JSON. */
 export interface Problem {
   readonly status: number;
   readonly outcome: LocalOutcome;
   readonly code: ProblemCode | AdapterProblemCode;
   readonly detail: string;
-  /** When the caller may come back, in milliseconds. */
+  /** Time after which the caller may retry, in milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** Media type of RFC 9457. */
+/** Media type of problem JSON (RFC 9457). */
 export const PROBLEM_TYPE = 'application/problem+json';
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * The body of an error.
- * @param problem - What to tell.
+ * Encodes the body of an error.
+ * @param problem - The error.
  * @example
  * writeProblemBody({ status: 404, outcome: 'not-run', code: 'not-found', detail: 'no such page' });
  */
@@ -45,9 +45,9 @@
 }
 
 /**
- * Headers of an error, name and value in turn, for a body of a given size.
- * @param problem - What to tell.
- * @param bodyBytes - Size of the body.
+ * Gets the headers of an error, names and values alternating.
+ * @param problem - The error.
+ * @param bodyBytes - Size of the encoded body in bytes.
  */
 export function getProblemHeaders(problem: Problem, bodyBytes: number): string[] {
   const headers = [
@@ -59,7 +59,7 @@
     problem.outcome,
   ];
   if (problem.retryAfterMs !== undefined) {
-    // Retry-After counts whole seconds; the body has the milliseconds.
+    // Retry-After has a resolution of whole seconds; the body contains the milliseconds.
     headers.push('Retry-After', String(Math.ceil(problem.retryAfterMs / MS_PER_SECOND)));
   }
   return headers;
--- a/src/entry/metrics/CoreCounter.ts
+++ b/src/entry/metrics/CoreCounter.ts
@@ -1,7 +1,7 @@
 import type { Registry } from 'prom-client';
 import { Counter } from 'prom-client';
 
-/** What a counter is called and labelled by. */
+/** Name, help text and labels of a counter. */
 export interface CoreCounterOptions {
   readonly name: string;
   readonly help: string;
@@ -9,21 +9,21 @@
   readonly registers: Registry[];
 }
 
-/** Additions that prom-client hasn't heard of yet. */
-interface Pending {
+/** Increments of one label set that haven't been passed to prom-client yet. */
+interface PendingIncrement {
   readonly labels: Readonly<Record<string, string>>;
   by: number;
 }
 
-/** One of the core's counters; what is added reaches prom-client when the metrics are read. */
+/** A counter of the core. Increments are buffered and passed to prom-client on each scrape. */
 export class CoreCounter {
   /** @internal */
-  private readonly pending = new Map<string, Pending>();
+  private readonly pending = new Map<string, PendingIncrement>();
 
   /** @internal */
   private readonly counter: Counter;
 
-  /** @param options - Name, help and labels. */
+  /** @param options - Name, help text and labels. */
   constructor(private readonly options: CoreCounterOptions) {
     const { name, help, labels, registers } = options;
     this.counter = new Counter({
@@ -36,16 +36,16 @@
   }
 
   /**
-   * Adds. Labels that the counter doesn't have are left out.
-   * @param labels - Values by label.
-   * @param by - How much.
+   * Increments the counter. Labels that the counter doesn't declare are ignored.
+   * @param labels - Label values by label name.
+   * @param by - The increment.
    */
   add(labels: Readonly<Record<string, string>>, by: number): void {
     let key = '';
     for (const name of this.options.labels) key += `${labels[name] ?? ''}\n`;
-    const known = this.pending.get(key);
-    if (known === undefined) this.pending.set(key, { labels, by });
-    else known.by += by;
+    const existing = this.pending.get(key);
+    if (existing === undefined) this.pending.set(key, { labels, by });
+    else existing.by += by;
   }
 
   /** @internal */
--- a/src/entry/metrics/EntryMetrics.ts
+++ b/src/entry/metrics/EntryMetrics.ts
@@ -6,7 +6,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Counters that the core keeps, with their labels. */
+/** Help texts and labels of the counters that the core increments. */
 const CORE_COUNTERS: Record<MetricName, { readonly help: string; readonly labels: string[] }> = {
   masticlink_requests_total: {
     help: 'Requests that ended, by service and outcome.',
@@ -36,7 +36,10 @@
   },
 };
 
-/** One process's metrics; not prom-client's global registry, since a test runs several processes. */
+/**
+ * The metrics of one process. They have a registry of their own instead of prom-client's global
+ * one, since tests run several processes in one Node.js process.
+ */
 export class EntryMetrics {
   readonly registry = new Registry();
 
@@ -50,8 +53,8 @@
   private readonly attemptLatency: LatencyHistogram;
 
   /**
-   * @param state - The process's state; read when the metrics are asked for.
-   * @param now - Monotonic milliseconds.
+   * @param state - The process's state; read on each scrape.
+   * @param now - Gives the current time in monotonic milliseconds.
    */
   constructor(
     private readonly state: EntryState,
@@ -77,28 +80,28 @@
   }
 
   /**
-   * Adds to one of the core's counters. Labels that the counter doesn't have are left out.
-   * @param metric - The counter.
-   * @param labels - Its labels.
-   * @param by - How much.
+   * Increments one of the core's counters. Labels that the counter doesn't declare are ignored.
+   * @param metric - Name of the counter.
+   * @param labels - Label values by label name.
+   * @param by - The increment.
    */
   count(metric: MetricName, labels: Readonly<Record<string, string>>, by: number): void {
     this.counters.get(metric)?.add(labels, by);
   }
 
   /**
-   * Takes note of a request that got its answer.
-   * @param service - Its service; only configured ones are given, so the labels are bounded.
-   * @param milliseconds - From its head to the end of its answer.
+   * Records the duration of a request that ended.
+   * @param service - Name of a configured service, so that the number of label values is bounded.
+   * @param milliseconds - Time from the request's head to the end of its answer.
    */
   observeRequest(service: string, milliseconds: number): void {
     this.requestLatency.observeMs(service, milliseconds);
   }
 
   /**
-   * Takes note of a sending that ended.
-   * @param to - What it went to.
-   * @param milliseconds - How long it took.
+   * Records the duration of an attempt that ended.
+   * @param to - Whether the attempt went to a target or to a peer.
+   * @param milliseconds - Duration of the attempt.
    */
   observeAttempt(to: 'target' | 'peer', milliseconds: number): void {
     this.attemptLatency.observeMs(to, milliseconds);
--- a/src/entry/metrics/ServiceLevels.ts
+++ b/src/entry/metrics/ServiceLevels.ts
@@ -6,9 +6,9 @@
 import type { HttpExchange } from '../exchange/HttpExchange.js';
 import type { EntryMetrics } from './EntryMetrics.js';
 
-/** What counting service levels needs. */
+/** Dependencies of `ServiceLevels`. */
 export interface ServiceLevelsParts {
-  /** Read only. */
+  /** Read-only. */
   readonly state: EntryState;
   readonly store: StoreClient;
   readonly metrics: EntryMetrics;
@@ -16,17 +16,18 @@
 }
 
 /**
- * Counts how the callers of this entry VM were served, and stores the counts now and then: the VM
- * keeps nothing. Forwarded requests are counted where their callers are connected.
+ * Counts how the callers of this entry VM were served and periodically flushes the counts to the
+ * store, since the VM itself has no persistent storage. A forwarded request is counted on the entry
+ * VM that its caller is connected to.
  */
 export class ServiceLevels {
   /** @internal */
   private readonly recorder: ServiceLevelRecorder;
 
   /** @internal */
-  private readonly stored: ServiceLevelStore;
+  private readonly levelStore: ServiceLevelStore;
 
-  /** @param parts - What counting needs. */
+  /** @param parts - Dependencies. */
   constructor(private readonly parts: ServiceLevelsParts) {
     const { state, store } = parts;
     const { services } = state.configuration;
@@ -34,13 +35,13 @@
       getObjective: (service) => services.get(service)?.objective,
       wallNow: Date.now,
     });
-    this.stored = new ServiceLevelStore(store, state.settings.self.id);
+    this.levelStore = new ServiceLevelStore(store, state.settings.self.id);
   }
 
   /**
    * Counts a request that ended.
    * @param exchange - The request.
-   * @param latencyMs - From its head to the end of its answer.
+   * @param latencyMs - Time from the request's head to the end of its answer, in milliseconds.
    */
   record(exchange: HttpExchange, latencyMs: number): void {
     const { state, metrics } = this.parts;
@@ -48,7 +49,8 @@
     if (service === undefined) return;
     metrics.observeRequest(service.name, latencyMs);
     const outcome = exchange.getOutcome();
-    // A caller that hung up early says nothing; one that waited too long was served too slowly.
+    // A caller that disconnected within the latency objective doesn't count. One that disconnected
+    // after it was served too slowly.
     if (outcome === undefined && latencyMs <= service.objective.latencyMs) return;
     this.recorder.record({
       service: service.name,
@@ -60,18 +62,18 @@
   }
 
   /**
-   * Stores the counts from time to time.
-   * @param timers - Time to go by.
+   * Schedules periodic flushes of the counts.
+   * @param timers - Timer service that runs the flushes.
    */
-  subscribe(timers: TimerService): void {
+  scheduleFlushes(timers: TimerService): void {
     timers.subscribe(getFlushPeriodMs(this.parts.state.settings), () => {
       this.flush().catch((error: Error) => this.parts.logger.warn('entry', error.message));
     });
   }
 
-  /** Stores the counts now. */
+  /** Flushes the counts to the store now. */
   async flush(): Promise<void> {
-    const isStored = await this.stored.flush(this.recorder, Date.now());
-    if (!isStored) this.parts.logger.warn('entry', 'service-level counts are kept for later');
+    const isStored = await this.levelStore.flush(this.recorder, Date.now());
+    if (!isStored) this.parts.logger.warn('entry', 'service-level counts not stored; will retry');
   }
 }
--- a/src/tests/entry/answers.test.ts
+++ b/src/tests/entry/answers.test.ts
@@ -5,14 +5,19 @@
 import test from 'ava';
 import { request } from 'undici';
 
-import { getAttempts, startBefore, startWorld, until } from './fixtures.js';
+import {
+  getAttemptCount,
+  startEntryWithHandler,
+  startTestPlatform,
+  waitUntil,
+} from './fixtures.js';
 
 const HORAIRES = { host: 'horaires' };
 
-test('bodies stream both ways, whole', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const entry = await startBefore(world, (req, res) => {
+test('request and answer bodies are streamed completely', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const entry = await startEntryWithHandler(platform, (req, res) => {
     res.writeHead(200);
     req.pipe(res);
   });
@@ -23,27 +28,28 @@
     body: sent,
   });
   t.is(statusCode, 200);
-  const got = Buffer.from(await body.arrayBuffer());
+  const received = Buffer.from(await body.arrayBuffer());
   t.is(
-    createHash('sha256').update(got).digest('hex'),
+    createHash('sha256').update(received).digest('hex'),
     createHash('sha256').update(sent).digest('hex'),
   );
 });
 
-test('an answer much larger than any buffer passes through no faster than it is read', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const piece = Buffer.alloc(64 * 1024, 'x');
-  const pieces = 800;
+test('an answer much larger than any buffer is relayed with backpressure', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const sentChunk = Buffer.alloc(64 * 1024, 'x');
+  const chunkCount = 800;
   let written = 0;
-  // What is tested is the pace; a deadline that a busy machine misses would cut the answer.
-  const patient = { timeoutMs: 60_000 };
+  // The test is about backpressure; a shorter deadline, missed on a busy machine, would truncate
+  // the answer.
+  const longTimeout = { timeoutMs: 60_000 };
   const send: RequestListener = (_req, res) => {
     res.writeHead(200);
     const write = (): void => {
-      while (written < pieces) {
+      while (written < chunkCount) {
         written += 1;
-        if (!res.write(piece)) {
+        if (!res.write(sentChunk)) {
           res.once('drain', write);
           return;
         }
@@ -52,28 +58,28 @@
     };
     write();
   };
-  const entry = await startBefore(world, send, patient);
+  const entry = await startEntryWithHandler(platform, send, longTimeout);
   const { body } = await request(`http://${entry.address}/x`, { headers: HORAIRES });
   const [first] = (await once(body, 'data')) as [Buffer];
   body.pause();
-  let before = -1;
-  // The target comes to a halt once all buffers on the way are full.
-  for (let same = 0; same < 20; same = written === before ? same + 1 : 0) {
-    before = written;
+  let previous = -1;
+  // The target stops writing once all buffers between it and the caller are full.
+  for (let same = 0; same < 20; same = written === previous ? same + 1 : 0) {
+    previous = written;
     await new Promise((resolve) => {
       setTimeout(resolve, 10);
     });
   }
-  t.true(written < pieces);
+  t.true(written < chunkCount);
   let size = first.length;
   for await (const chunk of body) size += (chunk as Buffer).length;
-  t.is(size, pieces * piece.length);
+  t.is(size, chunkCount * sentChunk.length);
 });
 
-test('answers without a body stay without one', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const entry = await startBefore(world, (req, res) => {
+test('answers without a body are relayed without one', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const entry = await startEntryWithHandler(platform, (req, res) => {
     if (req.url === '/none') res.writeHead(204).end();
     else if (req.url === '/same') res.writeHead(304, { etag: '"a"' }).end();
     else {
@@ -93,12 +99,12 @@
   t.deepEqual(await send('GET', '/x'), [200, '0123456789']);
 });
 
-test('a cut answer ends in an error at the caller', async (t) => {
-  // The target dies in the middle of an answer whose length was never told. A caller that saw a
-  // clean end would show a family half of the feeding times as if they were all.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const entry = await startBefore(world, (_req, res) => {
+test('a truncated answer ends with an error at the caller', async (t) => {
+  // The target fails in the middle of an answer without a declared length. With a clean end, the
+  // caller would take the partial answer for a complete one.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const entry = await startEntryWithHandler(platform, (_req, res) => {
     res.writeHead(200);
     res.write('08:00 loutres', () => res.socket?.destroy());
   });
@@ -107,14 +113,14 @@
   await t.throwsAsync(body.text());
 });
 
-test('a request whose target breaks off before it answers is told to be unknown', async (t) => {
-  // The target took the request and its connection ended. Nobody here can tell whether the dive
-  // was booked; "not-run" would have the caller book it twice.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  let asked = 0;
-  const entry = await startBefore(world, (req) => {
-    asked += 1;
+test('a request whose target disconnects before it answers has the outcome unknown', async (t) => {
+  // The target received the request and closed the connection, so the request may have run. With
+  // the outcome "not-run", the caller would send it again and it could run twice.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  let requestCount = 0;
+  const entry = await startEntryWithHandler(platform, (req) => {
+    requestCount += 1;
     req.socket.destroy();
   });
   const { statusCode, headers, body } = await request(`http://${entry.address}/x`, {
@@ -125,17 +131,17 @@
   await body.dump();
   t.is(statusCode, 502);
   t.is(headers['masticlink-outcome'], 'unknown');
-  t.is(asked, 1);
+  t.is(requestCount, 1);
 });
 
-test('a target that closes an idle connection under a request does not get it twice', async (t) => {
-  // Targets close connections that were idle for a while. One that does so just as a request goes
-  // out may or may not have read it: to send a payment again over a new connection could run it
-  // twice, so the caller is told that the outcome is unknown.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
+test('a request is not sent again when its target closes the idle connection it was sent on', async (t) => {
+  // Targets close idle connections after a while. One that does so just as a request is sent may or
+  // may not have read it. Sending the request again over a new connection could run it twice, so
+  // the caller gets the outcome "unknown".
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
   const uids: string[] = [];
-  const entry = await startBefore(world, (req, res) => {
+  const entry = await startEntryWithHandler(platform, (req, res) => {
     uids.push(String(req.headers['x-request-id']));
     if (uids.length === 2) req.socket.destroy();
     else res.writeHead(200, { 'content-length': 2 }).end('ok');
@@ -154,34 +160,34 @@
   t.deepEqual(uids, ['first', 'second']);
 });
 
-test('a caller that hangs up frees the slot at once', async (t) => {
-  // A visitor closes the page while the target works. A slot held for an answer that nobody waits
-  // for is a slot that the next visitor lacks.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const taken: IncomingMessage[] = [];
-  const ended: ServerResponse[] = [];
-  const entry = await startBefore(world, (req, res) => {
-    taken.push(req);
-    res.on('close', () => ended.push(res));
+test('a caller that disconnects frees its slot immediately', async (t) => {
+  // The caller disconnects while the target processes its request. A slot that stayed occupied for
+  // an answer without a recipient would be missing for the next request.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const receivedRequests: IncomingMessage[] = [];
+  const closedAnswers: ServerResponse[] = [];
+  const entry = await startEntryWithHandler(platform, (req, res) => {
+    receivedRequests.push(req);
+    res.on('close', () => closedAnswers.push(res));
   });
   const controller = new AbortController();
-  const asked = request(`http://${entry.address}/x`, {
+  const pendingAnswer = request(`http://${entry.address}/x`, {
     headers: HORAIRES,
     signal: controller.signal,
   });
-  await until(() => taken.length === 1);
-  controller.abort(new Error('the page was closed'));
-  await t.throwsAsync(asked);
-  await until(() => ended.length === 1 && getAttempts(entry) === 0);
+  await waitUntil(() => receivedRequests.length === 1);
+  controller.abort(new Error('the caller disconnected'));
+  await t.throwsAsync(pendingAnswer);
+  await waitUntil(() => closedAnswers.length === 1 && getAttemptCount(entry) === 0);
   t.pass();
 });
 
-test('the deadline goes to the target, and a request is given up when it has passed', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
+test('the deadline is passed to the target, and the request fails when it expires', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
   const deadlines: number[] = [];
-  const entry = await startBefore(world, (req) => {
+  const entry = await startEntryWithHandler(platform, (req) => {
     deadlines.push(Number(req.headers['masticlink-deadline-ms']));
   });
   const { statusCode, headers, body } = await request(`http://${entry.address}/x`, {
@@ -195,13 +201,13 @@
   t.true(deadlines[0] <= 150);
 });
 
-test('a request that no target could be given was not run', async (t) => {
-  // Every target of the service refuses connections. No byte of the request left, so its caller
-  // may safely send it again.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const entry = await startBefore(world, (_req, res) => res.end());
-  await world.targets[0].stop();
+test('a request that could not be sent to any target has the outcome not-run', async (t) => {
+  // Every target of the service refuses connections. No byte of the request was sent, so its caller
+  // can safely retry it.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const entry = await startEntryWithHandler(platform, (_req, res) => res.end());
+  await platform.targets[0].stop();
   const { headers, body } = await request(`http://${entry.address}/x`, {
     method: 'POST',
     headers: { ...HORAIRES, 'masticlink-deadline-ms': '300' },
--- a/src/tests/entry/badInput.test.ts
+++ b/src/tests/entry/badInput.test.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 
 import type { EntryProcess } from '../../entry/index.js';
-import { BOUNDS, push, startPair, startWorld } from './fixtures.js';
+import { BOUNDS, pushConfiguration, startEntryWithTarget, startTestPlatform } from './fixtures.js';
 
 interface Refusal {
   readonly status: number;
@@ -12,7 +12,7 @@
   readonly code: string;
 }
 
-/** Sends bytes as they are and gives the answer's first line and body. */
+/** Sends a raw request and returns everything received until the connection closes. */
 function sendRaw(entry: EntryProcess, text: string): Promise<string> {
   const [host, port] = entry.address.split(':');
   return new Promise((resolve, reject) => {
@@ -48,10 +48,10 @@
   for (let sent = 0; sent < bytes; sent += 1_024) yield Buffer.alloc(1_024);
 }
 
-test('what is wrong with a request is told clearly, and the process serves on', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world);
+test('invalid requests get specific error answers, and the process keeps serving', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform);
   const horaires = { host: 'horaires' };
   const tooLarge = Buffer.alloc(BOUNDS.bodyBytes + 1);
   t.snapshot(
@@ -91,10 +91,10 @@
   await answer.body.dump();
 });
 
-test('bytes that are no request get an answer, not a silence', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world);
+test('bytes that are not a valid request get an error answer', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform);
   const head = async (text: string): Promise<string> =>
     (await sendRaw(entry, text)).split('\r\n')[0];
   t.is(await head('THIS IS NOT HTTP\r\n\r\n'), 'HTTP/1.1 400 Bad Request');
@@ -112,10 +112,10 @@
   );
 });
 
-test('a caller that asks first is not told to send a body that is too large', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world);
+test('a caller that sends Expect: 100-continue is not asked for a body that is too large', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform);
   const ask = (bytes: number): string =>
     `POST /x HTTP/1.1\r\nHost: horaires\r\nExpect: 100-continue\r\nConnection: close\r\n` +
     `Content-Length: ${bytes}\r\n\r\n`;
@@ -123,10 +123,10 @@
   t.regex(await sendRaw(entry, ask(BOUNDS.bodyBytes + 1)), /^HTTP\/1.1 413/u);
 });
 
-test('a service can be named by a path prefix', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world, { pathPrefix: '/horaires' });
+test('a service can be selected by a path prefix', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform, { pathPrefix: '/horaires' });
   const get = async (path: string): Promise<number> => {
     const { statusCode, body } = await request(`http://${entry.address}${path}`);
     await body.dump();
@@ -135,5 +135,5 @@
   t.is(await get('/horaires/aujourdhui'), 200);
   t.is(await get('/horaires?x=1'), 200);
   t.is(await get('/horairesplus'), 404);
-  await t.throwsAsync(push(entry, { root: {} as never, services: [] }));
+  await t.throwsAsync(pushConfiguration(entry, { root: {} as never, services: [] }));
 });
--- a/src/tests/entry/fixtures.ts
+++ b/src/tests/entry/fixtures.ts
@@ -12,8 +12,8 @@
 import { StandInServer } from '../../standIns/http/StandInServer.js';
 import { makeConfiguration, makeCoreSettings, makeService } from '../core/fixtures.js';
 
-/** A platform of stand-ins on loopback and what runs on it; `stop` ends all of it. */
-export interface World {
+/** Stand-ins of the platform on loopback, with the processes under test; `stop` stops them all. */
+export interface TestPlatform {
   readonly store: StoreServer;
   readonly vmList: VmListServer;
   readonly entries: EntryProcess[];
@@ -21,12 +21,12 @@
   stop(): Promise<void>;
 }
 
-/** Starts the platform's stand-ins. */
-export async function startWorld(): Promise<World> {
+/** Starts the stand-ins of the platform. */
+export async function startTestPlatform(): Promise<TestPlatform> {
   const store = await startStoreServer({ model: { answerMs: 0 } });
   const vmList = await startVmListServer({ lagMs: 0 });
   const entries: EntryProcess[] = [];
-  const targets: World['targets'] = [];
+  const targets: TestPlatform['targets'] = [];
   const stop = async (): Promise<void> => {
     await Promise.all(entries.map((entry) => entry.kill()));
     await Promise.all([store, vmList, ...targets].map((server) => server.stop()));
@@ -34,7 +34,7 @@
   return { store, vmList, entries, targets, stop };
 }
 
-/** Small bounds, so that tests of them need few bytes. */
+/** Small limits, so that tests can exceed them with few bytes. */
 export const BOUNDS: EntrySettings['bounds'] = {
   headerBytes: 4_096,
   bodyBytes: 64 * 1024,
@@ -43,15 +43,18 @@
   callerConnections: 1_000,
 };
 
-/** Settings of an entry process on the given platform. */
-export function makeEntrySettings(world: World, core: Partial<CoreSettings> = {}): EntrySettings {
+/** Makes the settings of an entry process on the given platform. */
+export function makeEntrySettings(
+  platform: TestPlatform,
+  core: Partial<CoreSettings> = {},
+): EntrySettings {
   return {
     core: makeCoreSettings(core),
     listen: { host: '127.0.0.1', port: 0 },
     peerListen: { host: '127.0.0.1', port: 0 },
-    storeUrl: `http://${world.store.address}`,
+    storeUrl: `http://${platform.store.address}`,
     storeTimeoutMs: 1_000,
-    vmListUrl: `http://${world.vmList.address}/vms`,
+    vmListUrl: `http://${platform.vmList.address}/vms`,
     vmListPeriodMs: 1_000,
     adminToken: 'secret',
     bounds: BOUNDS,
@@ -61,15 +64,15 @@
 
 /** Starts one entry process. */
 export async function startEntry(
-  world: World,
+  platform: TestPlatform,
   core: Partial<CoreSettings> = {},
 ): Promise<EntryProcess> {
-  const entry = await EntryProcess.start(makeEntrySettings(world, core));
-  world.entries.push(entry);
+  const entry = await EntryProcess.start(makeEntrySettings(platform, core));
+  platform.entries.push(entry);
   return entry;
 }
 
-/** A service whose targets are at the given addresses. */
+/** Makes a service whose targets have the given addresses. */
 export function makeServiceAt(
   name: string,
   addresses: readonly string[],
@@ -84,11 +87,11 @@
 }
 
 /** Writes a configuration to the store as the publishing step does. */
-export async function writeToStore(
-  world: World,
+export async function writeConfiguration(
+  platform: TestPlatform,
   configuration: { root: ConfigRoot; services: readonly ServiceObject[] },
 ): Promise<void> {
-  const { model } = world.store;
+  const { model } = platform.store;
   const put = (key: string, value: unknown): Promise<void> =>
     new Promise((resolve) => {
       model.call({ op: 'put', key, value, expect: model.peek(key)?.version ?? 0 }, () => resolve());
@@ -99,28 +102,28 @@
   await put('config/root', configuration.root);
 }
 
-/** Waits until something holds; throws after five seconds, so that a test can't hang. */
-export async function until(holds: () => boolean): Promise<void> {
-  for (let tries = 0; !holds(); tries += 1) {
-    if (tries > 1_000) throw new Error('what was waited for did not come about');
+/** Waits until a condition holds; throws after five seconds, so that a test can't hang. */
+export async function waitUntil(isSatisfied: () => boolean): Promise<void> {
+  for (let polls = 0; !isSatisfied(); polls += 1) {
+    if (polls > 1_000) throw new Error('the awaited condition did not hold within about 5 s');
     await new Promise((resolve) => {
       setTimeout(resolve, 5);
     });
   }
 }
 
-function isFresh(entry: EntryProcess): boolean {
+function isConfigurationFresh(entry: EntryProcess): boolean {
   const { configuration, settings } = entry.state;
   return performance.now() - configuration.confirmedAt < settings.freshnessMs / 2;
 }
 
-/** Waits until a process has joined the fleet, drives targets and has word of its configuration. */
-export async function untilReady(entry: EntryProcess): Promise<void> {
-  await until(() => entry.state.fleet.granted.size > 0 && isFresh(entry));
+/** Waits until a process drives partitions and its configuration was recently confirmed. */
+export async function waitUntilReady(entry: EntryProcess): Promise<void> {
+  await waitUntil(() => entry.state.fleet.granted.size > 0 && isConfigurationFresh(entry));
 }
 
-/** Hands a configuration to a process as the publishing step does. */
-export async function push(
+/** Pushes a configuration to a process as the publishing step does. */
+export async function pushConfiguration(
   entry: EntryProcess,
   configuration: { root: ConfigRoot; services: readonly ServiceObject[] },
 ): Promise<void> {
@@ -129,17 +132,17 @@
     headers: { authorization: 'Bearer secret', 'content-type': 'application/json' },
     body: JSON.stringify(configuration),
   });
-  if (answer.status !== 202) throw new Error(`the push was answered with ${answer.status}`);
+  if (answer.status !== 202) throw new Error(`the push failed with status ${answer.status}`);
 }
 
-/** A target of a test's own making. */
-export interface RawTarget {
+/** A target that answers requests with a handler of the test. */
+export interface HandlerTarget {
   readonly address: string;
   stop(): Promise<void>;
 }
 
-/** Starts a target that does just what a test wants; it answers probes by itself. */
-export async function startRawTarget(handler: RequestListener): Promise<RawTarget> {
+/** Starts a target that passes requests to a handler; it answers health probes itself. */
+export async function startHandlerTarget(handler: RequestListener): Promise<HandlerTarget> {
   const server = await StandInServer.start({}, (req, res) => {
     if (req.url === '/health') res.end();
     else handler(req, res);
@@ -147,80 +150,80 @@
   return { address: server.address, stop: () => server.stop() };
 }
 
-/** Starts an entry process that serves a target of a test's own making as `horaires`. */
-export async function startBefore(
-  world: World,
+/** Starts a target with the given handler and an entry process that serves it as `horaires`. */
+export async function startEntryWithHandler(
+  platform: TestPlatform,
   handler: RequestListener,
   changes: Partial<ServiceConfig> = {},
   core: Partial<CoreSettings> = {},
 ): Promise<EntryProcess> {
-  const target = await startRawTarget(handler);
-  world.targets.push(target);
-  const entry = await startEntry(world, core);
+  const target = await startHandlerTarget(handler);
+  platform.targets.push(target);
+  const entry = await startEntry(platform, core);
   const service = makeServiceAt('horaires', [target.address], changes);
   const configuration = makeConfiguration(1, [service]);
-  await writeToStore(world, configuration);
-  await push(entry, configuration);
-  await untilReady(entry);
+  await writeConfiguration(platform, configuration);
+  await pushConfiguration(entry, configuration);
+  await waitUntilReady(entry);
   return entry;
 }
 
-/** Settings of another entry process of zone `a`. */
+/** Makes the `self` setting of an entry process in zone `a`. */
 export function makeSelf(id: string): Pick<CoreSettings, 'self'> {
   return { self: { id, zone: 'a', address: '', peerAddress: '' } };
 }
 
-/** Starts a target and an entry process that serves it as `horaires`. */
-export async function startPair(
-  world: World,
+/** Starts a stand-in target and an entry process that serves it as `horaires`. */
+export async function startEntryWithTarget(
+  platform: TestPlatform,
   changes: Partial<ServiceConfig> = {},
 ): Promise<{ entry: EntryProcess; target: TargetServer }> {
   const target = await startTargetServer({ model: { id: 'horaires/t0', slots: 2 } });
-  world.targets.push(target);
-  const entry = await startEntry(world);
+  platform.targets.push(target);
+  const entry = await startEntry(platform);
   const service = makeServiceAt('horaires', [target.address], changes);
   const configuration = makeConfiguration(1, [service]);
-  await writeToStore(world, configuration);
-  await push(entry, configuration);
-  await untilReady(entry);
+  await writeConfiguration(platform, configuration);
+  await pushConfiguration(entry, configuration);
+  await waitUntilReady(entry);
   return { entry, target };
 }
 
-/** Two processes of one fleet, and the target `horaires/t0` that only `holder` drives. */
-export interface Two {
+/** Two processes of one fleet, and the target `horaires/t0`, which only `holder` drives. */
+export interface EntryPair {
   readonly holder: EntryProcess;
   readonly other: EntryProcess;
-  readonly target: RawTarget;
+  readonly target: HandlerTarget;
 }
 
-/** Starts two processes before one target; resolves once both know who drives it. */
-export async function startTwo(
-  world: World,
+/** Starts two entry processes and one target; resolves once exactly one of them drives it. */
+export async function startEntryPair(
+  platform: TestPlatform,
   handler: RequestListener,
   core: Partial<CoreSettings> = {},
-): Promise<Two> {
-  const target = await startRawTarget(handler);
-  world.targets.push(target);
-  const first = await startEntry(world, { ...core, ...makeSelf('vm1#1') });
-  const second = await startEntry(world, { ...core, ...makeSelf('vm2#1') });
+): Promise<EntryPair> {
+  const target = await startHandlerTarget(handler);
+  platform.targets.push(target);
+  const first = await startEntry(platform, { ...core, ...makeSelf('vm1#1') });
+  const second = await startEntry(platform, { ...core, ...makeSelf('vm2#1') });
   const configuration = makeConfiguration(1, [makeServiceAt('horaires', [target.address])]);
-  await writeToStore(world, configuration);
-  await Promise.all([first, second].map((entry) => push(entry, configuration)));
-  const drives = (entry: EntryProcess): boolean =>
+  await writeConfiguration(platform, configuration);
+  await Promise.all([first, second].map((entry) => pushConfiguration(entry, configuration)));
+  const isDriver = (entry: EntryProcess): boolean =>
     entry.state.targets.records.has('horaires/t0') && entry.state.fleet.granted.size > 0;
   const hasTwoMembers = (entry: EntryProcess): boolean =>
     entry.state.fleet.assignment.members.length === 2;
-  await until(
+  await waitUntil(
     () =>
-      [first, second].every((entry) => hasTwoMembers(entry) && isFresh(entry)) &&
-      drives(first) !== drives(second),
+      [first, second].every((entry) => hasTwoMembers(entry) && isConfigurationFresh(entry)) &&
+      isDriver(first) !== isDriver(second),
   );
-  return drives(first)
+  return isDriver(first)
     ? { holder: first, other: second, target }
     : { holder: second, other: first, target };
 }
 
-/** Sendings that a process has out. */
-export function getAttempts(entry: EntryProcess): number {
+/** Gets the number of open attempts of a process. */
+export function getAttemptCount(entry: EntryProcess): number {
   return entry.state.requests.attempts.size;
 }
--- a/src/tests/entry/peers.test.ts
+++ b/src/tests/entry/peers.test.ts
@@ -6,16 +6,16 @@
 
 import type { PeerMessage } from '../../core/index.js';
 import { PeerClient, PeerServer } from '../../peers/index.js';
-import { getAttempts, startTwo, startWorld, until } from './fixtures.js';
+import { getAttemptCount, startEntryPair, startTestPlatform, waitUntil } from './fixtures.js';
 
 const HORAIRES = { host: 'horaires' };
 const HOST = '127.0.0.1';
 
-test('a request at a process that does not drive the target goes over the one that does', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
+test('a process that does not drive the target forwards the request to the one that does', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
   const seen: IncomingMessage[] = [];
-  const { holder, other } = await startTwo(world, (req, res) => {
+  const { holder, other } = await startEntryPair(platform, (req, res) => {
     seen.push(req);
     res.writeHead(200, { 'content-type': 'text/plain', 'x-own': 'kept' });
     req.pipe(res);
@@ -40,15 +40,15 @@
     body: large,
   });
   t.true(Buffer.from(await answer.body.arrayBuffer()).equals(large));
-  t.is(getAttempts(holder) + getAttempts(other), 0);
+  t.is(getAttemptCount(holder) + getAttemptCount(other), 0);
 });
 
-test('an answer cut behind a forward ends in an error at the caller', async (t) => {
-  // The target dies mid-answer and a second entry VM lies between it and the caller. The break has
-  // to be passed on over both hops, else the caller takes a part for the whole.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { other } = await startTwo(world, (_req, res) => {
+test('a truncated answer to a forwarded request ends with an error at the caller', async (t) => {
+  // The target fails mid-answer, with two entry VMs between it and the caller. Both have to pass
+  // the abort on, or the caller takes the partial answer for a complete one.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { other } = await startEntryPair(platform, (_req, res) => {
     res.writeHead(200);
     res.write('08:00 loutres', () => res.socket?.destroy());
   });
@@ -56,32 +56,34 @@
   await t.throwsAsync(body.text());
 });
 
-test('a caller that hangs up cancels a forwarded request at the target', async (t) => {
-  // Two hops away from the target, a caller closes its page. If the cancellation stopped at the
-  // first hop, the holder would keep a slot busy for nobody.
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  let taken = 0;
-  let ended = 0;
-  const { holder, other } = await startTwo(world, (_req, res) => {
-    taken += 1;
+test('a caller that disconnects cancels a forwarded request at the target', async (t) => {
+  // The caller disconnects from an entry VM that forwarded its request. If that VM didn't pass the
+  // cancellation on, the holder of the target would keep a slot occupied.
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  let receivedCount = 0;
+  let closedCount = 0;
+  const { holder, other } = await startEntryPair(platform, (_req, res) => {
+    receivedCount += 1;
     res.on('close', () => {
-      ended += 1;
+      closedCount += 1;
     });
   });
   const controller = new AbortController();
-  const asked = request(`http://${other.address}/x`, {
+  const pendingAnswer = request(`http://${other.address}/x`, {
     headers: HORAIRES,
     signal: controller.signal,
   });
-  await until(() => taken === 1);
-  controller.abort(new Error('the page was closed'));
-  await t.throwsAsync(asked);
-  await until(() => ended === 1 && getAttempts(holder) === 0 && getAttempts(other) === 0);
+  await waitUntil(() => receivedCount === 1);
+  controller.abort(new Error('the caller disconnected'));
+  await t.throwsAsync(pendingAnswer);
+  await waitUntil(
+    () => closedCount === 1 && getAttemptCount(holder) === 0 && getAttemptCount(other) === 0,
+  );
   t.pass();
 });
 
-/** Sends one message and gives how its delivery failed; undefined if it arrived. */
+/** Sends one message; resolves with the reason why its delivery failed, undefined if it arrived. */
 async function deliver(
   peer: string,
   address: string,
@@ -95,14 +97,14 @@
     },
   });
   client.send(peer, address, { kind: 'assignmentHeard', epoch: 1, confirmations: [] });
-  await until(() => failure !== undefined || arrived());
+  await waitUntil(() => failure !== undefined || arrived());
   client.close();
   return failure;
 }
 
-test('only a machine that refuses the connection proves that a process has ended', async (t) => {
-  // A paused process keeps its port and wakes up believing that it still drives its targets. If
-  // its silence were taken for its end, two processes would drive them at once.
+test('a process counts as ended only if its address refuses the connection or message', async (t) => {
+  // A paused process keeps its port, and when it resumes it still assumes that it drives its
+  // targets. If a missing answer counted as its end, two processes would drive them at once.
   const arrived: PeerMessage[] = [];
   const server = await PeerServer.start({ self: 'vm1#1', host: HOST, port: 0 });
   const { address } = server;
@@ -117,9 +119,9 @@
   t.is(await deliver('vm1#1', address, () => false), 'refused', 'nothing listens');
 });
 
-test('a message of the wrong shape is refused and does not reach the core', async (t) => {
-  // During a rolling replacement of VMs two releases talk to each other. A message with a field
-  // missing that got through would put undefined numbers into leases and epochs.
+test('a malformed message is refused and does not reach the core', async (t) => {
+  // During a rolling replacement of VMs, two releases communicate. A message with a missing field
+  // would put undefined numbers into leases and epochs.
   const server = await PeerServer.start({ self: 'vm1#1', host: HOST, port: 0 });
   t.teardown(() => server.close());
   const arrived: PeerMessage[] = [];
@@ -134,13 +136,13 @@
   });
   t.teardown(() => client.close());
   client.send('vm1#1', server.address, { kind: 'confirmAsked', epoch: 'late' } as never);
-  await until(() => failed);
+  await waitUntil(() => failed);
   t.deepEqual(arrived, []);
 });
 
-test('the end of a peer process is told although no further message is sent', async (t) => {
-  // An entry VM dies between two heartbeats. Each moment until the others know it, its targets
-  // stand idle and the callers who were given its address get nothing.
+test('the end of a peer process is reported even if no further message is sent', async (t) => {
+  // An entry VM fails between two heartbeats. Until the others detect it, its targets get no
+  // requests and callers that use its address get no answers.
   const server = await PeerServer.start({ self: 'vm1#1', host: HOST, port: 0 });
   const arrived: PeerMessage[] = [];
   server.onMessage = (_from, message) => arrived.push(message);
@@ -152,8 +154,8 @@
   });
   t.teardown(() => client.close());
   client.send('vm1#1', server.address, { kind: 'confirmAsked', epoch: 1, round: 1 });
-  await until(() => arrived.length === 1);
+  await waitUntil(() => arrived.length === 1);
   server.close();
-  await until(() => failures.includes('refused'));
+  await waitUntil(() => failures.includes('refused'));
   t.pass();
 });
--- a/src/tests/entry/wholePath.test.ts
+++ b/src/tests/entry/wholePath.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import { request } from 'undici';
 
-import { getAttempts, startPair, startWorld, until } from './fixtures.js';
+import { getAttemptCount, startEntryWithTarget, startTestPlatform, waitUntil } from './fixtures.js';
 
-test('a request goes from a caller over an entry process to a target and back', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world);
+test('an entry process passes a request to a target and relays the answer', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform);
   const { statusCode, headers, body } = await request(`http://${entry.address}/aujourdhui?x=1`, {
     headers: { host: 'horaires', 'x-request-id': 'r1', connection: 'x-mine', 'x-mine': 'dropped' },
   });
@@ -18,7 +18,7 @@
   });
   t.is(headers.via, '1.1 masticlink');
   t.is(headers['masticlink-load'], undefined);
-  await until(() => getAttempts(entry) === 0);
+  await waitUntil(() => getAttemptCount(entry) === 0);
   const metrics = await (await fetch(`http://${entry.address}/metrics`)).text();
   t.regex(metrics, /masticlink_request_duration_seconds_count\{service="horaires"\} 1/u);
   t.regex(
@@ -28,10 +28,10 @@
   t.regex(metrics, /masticlink_attempt_duration_seconds_count\{to="target"\} 1/u);
 });
 
-test('callers learn which addresses to use, and operators how the process is', async (t) => {
-  const world = await startWorld();
-  t.teardown(() => world.stop());
-  const { entry } = await startPair(world);
+test('the process API serves addresses, health, readiness and metrics', async (t) => {
+  const platform = await startTestPlatform();
+  t.teardown(() => platform.stop());
+  const { entry } = await startEntryWithTarget(platform);
   const get = async (path: string): Promise<{ status: number; text: string }> => {
     const answer = await fetch(`http://${entry.address}${path}`);
     return { status: answer.status, text: await answer.text() };
--- a/src/tests/fleet/firstStart.test.ts
+++ b/src/tests/fleet/firstStart.test.ts
@@ -11,7 +11,7 @@
 import { findPorts } from '../../soak/findPorts.js';
 import { SystemClock, TimerService } from '../../timing/index.js';
 import { makeTarget, TABLE } from '../balancing/scene.js';
-import { until } from '../entry/fixtures.js';
+import { waitUntil } from '../entry/fixtures.js';
 
 const VMS = 24;
 const SEEDS = 3;
@@ -90,7 +90,7 @@
     return { view, sync, timers, joined: membership.join() };
   });
   await Promise.all(vms.map(({ joined }) => joined));
-  await until(() => vms.every(({ view }) => view.vms.size === VMS && view.targets.size === 1));
+  await waitUntil(() => vms.every(({ view }) => view.vms.size === VMS && view.targets.size === 1));
   const announced = store.calls.filter((call) => call === 'announce').length;
   t.true(announced <= SEEDS, `${announced} announcements`);
   t.true(store.calls.length < VMS, `${store.calls.length} calls`);
--- a/src/tests/gateway/GatewayHarness.ts
+++ b/src/tests/gateway/GatewayHarness.ts
@@ -11,7 +11,7 @@
 import { findPorts } from '../../soak/findPorts.js';
 import { SystemClock } from '../../timing/index.js';
 import { ROUTE } from '../balancing/scene.js';
-import { until } from '../entry/fixtures.js';
+import { waitUntil } from '../entry/fixtures.js';
 import { ALLOWED_MS, CallerSocket } from './CallerSocket.js';
 
 const TARGET = 't-1';
@@ -86,7 +86,7 @@
     });
     harness = new GatewayHarness(store, target, ports[0], gateway);
     await gateway.start();
-    await until(() => gateway.isReady);
+    await waitUntil(() => gateway.isReady);
     return harness;
   }
 
@@ -143,11 +143,11 @@
 
   /** Waits until the target has started `count` requests. */
   async waitForStarted(count: number): Promise<void> {
-    await until(() => this.startedIds.length >= count);
+    await waitUntil(() => this.startedIds.length >= count);
   }
 
   /** Waits until a condition holds. */
-  readonly waitUntil = until;
+  readonly waitUntil = waitUntil;
 
   /** Waits a while, so that anything that must not happen has the time to happen. */
   async pause(ms: number): Promise<void> {
--- a/src/tests/gateway/pipelining.test.ts
+++ b/src/tests/gateway/pipelining.test.ts
@@ -175,7 +175,9 @@
     Object.assign(new EventEmitter(), { shouldKeepAlive: true, writableLength: 0 }),
   );
   for (const res of answers) {
-    connection.take(res as unknown as ServerResponse, false, (heldMs) => held.push(heldMs));
+    connection.acceptRequest(res as unknown as ServerResponse, false, (heldMs) =>
+      held.push(heldMs),
+    );
   }
   t.is(held.length, MAX_SERVED);
   const until = performance.now() + 20;
--- a/src/tests/soak/resetSocket.test.ts
+++ b/src/tests/soak/resetSocket.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 
 import { resetSocket } from '../../soak/resetSocket.js';
-import { until } from '../entry/fixtures.js';
+import { waitUntil } from '../entry/fixtures.js';
 
 const HOST = '127.0.0.1';
 
@@ -20,12 +20,12 @@
   });
   const near = connect({ host: HOST, port: (far.address() as AddressInfo).port });
   near.on('error', () => {});
-  await until(() => accepted.length === 1);
+  await waitUntil(() => accepted.length === 1);
   near.end();
   resetSocket(near);
   // What is written to a connection that is closed at the other end is answered by a reset.
   const writing = setInterval(() => accepted[0].write('more'), 10);
-  await until(() => accepted[0].destroyed);
+  await waitUntil(() => accepted[0].destroyed);
   clearInterval(writing);
   t.true(near.destroyed);
   far.close();
