--- a/src/bench/CentralQueue.ts
+++ b/src/bench/CentralQueue.ts
@@ -96,7 +96,7 @@
   private findTarget(service: CentralService): TargetModel | undefined {
     let best: TargetModel | undefined;
     for (const { model, zone } of service.targets) {
-      if (model.isDown || model.held >= model.bears || this.zonesOut.has(zone)) continue;
+      if (model.isDown || model.outstanding >= model.capacity || this.zonesOut.has(zone)) continue;
       const isFaster = best === undefined || this.compare(model, best) < 0;
       if (isFaster) best = model;
     }
@@ -108,7 +108,7 @@
 
   /** @internal */
   private compare(left: TargetModel, right: TargetModel): number {
-    return left.faults.slowFactor - right.faults.slowFactor || left.held - right.held;
+    return left.faults.slowFactor - right.faults.slowFactor || left.outstanding - right.outstanding;
   }
 
   /** @internal */
@@ -116,7 +116,7 @@
     const { request, onAnswer } = waiting;
     const { uid, fingerprint, serviceMs } = request;
     let status = 0;
-    model.take(
+    model.acceptRequest(
       { uid, sender: 'central', fingerprint, isProbe: false, newConnection: false, serviceMs },
       {
         answered: (given) => {
--- a/src/bench/LocalChoice.ts
+++ b/src/bench/LocalChoice.ts
@@ -124,7 +124,7 @@
     const count = (by: number) => entry.outstanding.set(id, (entry.outstanding.get(id) ?? 0) + by);
     count(1);
     let status = 0;
-    model.take(
+    model.acceptRequest(
       { uid, sender: 'entry', fingerprint, isProbe: false, newConnection, serviceMs },
       {
         answered: (given) => {
--- a/src/bench/runScenario.ts
+++ b/src/bench/runScenario.ts
@@ -74,10 +74,10 @@
   const targets = [...world.targets.values()];
   const slots = targets.reduce((sum, { options }) => sum + options.slots, 0);
   const probeMs = targets.reduce((sum, target) => sum + target.probeMs, 0);
-  const seconds = world instanceof FleetWorld ? world.fleet.store.seconds : [];
+  const seconds = world instanceof FleetWorld ? world.fleet.store.callsBySecond : [];
   return {
     probeShare: deployment.services.length === 0 ? 0 : probeMs / (slots * world.clock.now()),
-    coldFalls: targets.reduce((sum, target) => sum + target.fallsOver, 0),
+    coldFalls: targets.reduce((sum, target) => sum + target.overloadCrashes, 0),
     peakStoreWrites: Math.max(0, ...seconds.map(({ writes }) => writes)),
     peakStoreReads: Math.max(0, ...seconds.map(({ reads }) => reads)),
   };
--- a/src/demo/DemoFleet.ts
+++ b/src/demo/DemoFleet.ts
@@ -76,7 +76,7 @@
     probePath: service?.probe.path,
   });
   server.model.onStart = (start) => parts.observed.noteStart(start, target.zone);
-  server.model.onFall = () => {
+  server.model.onOverloadCrash = () => {
     parts.observed.falls += 1;
   };
   return { server, config: { ...target, address: server.address } };
@@ -208,7 +208,7 @@
         service: target.service,
       })),
     );
-    this.parts.vmList.model.set(vms);
+    this.parts.vmList.model.setVms(vms);
   }
 
   /** Stops one entry VM gracefully; resolves once its process has ended. */
@@ -235,7 +235,7 @@
         observed.probes.push({ target: id, probeMs, allowedMs });
       }
     }
-    const { seconds } = this.store;
+    const { callsBySecond: seconds } = this.store;
     observed.store = {
       writes: Math.max(0, ...seconds.map(({ writes }) => writes)),
       reads: Math.max(0, ...seconds.map(({ reads }) => reads)),
--- a/src/proof/VirtualFleet.ts
+++ b/src/proof/VirtualFleet.ts
@@ -117,7 +117,7 @@
     for (const { name, zone } of options.machines) this.network.place(name, zone);
     this.network.place('store', 'platform');
     for (const service of options.services) this.addTargets(service);
-    this.vmList.set(listVms(this.options, []));
+    this.vmList.setVms(listVms(this.options, []));
   }
 
   /** Publishes the first configuration and starts all processes. */
@@ -300,7 +300,7 @@
    * @param leaving - Their names.
    */
   setLeaving(leaving: readonly string[]): void {
-    this.vmList.set(listVms(this.options, leaving));
+    this.vmList.setVms(listVms(this.options, leaving));
   }
 
   /**
@@ -325,7 +325,7 @@
 
   /** The VM list as the platform shows it, noting which targets it shows as leaving. @internal */
   private readVmList(): readonly VmListEntry[] {
-    const vms = this.vmList.read();
+    const vms = this.vmList.getVisibleVms();
     for (const { service, name, state } of vms) {
       if (service === undefined) continue;
       const id = `${service}/${name}`;
@@ -389,7 +389,7 @@
         probeCostMs: service.probe.costMs,
       });
       target.onStart = (start) => this.observe({ kind: 'targetStarted', start });
-      target.onFall = () => this.observe({ kind: 'targetFellOver', target: id });
+      target.onOverloadCrash = () => this.observe({ kind: 'targetFellOver', target: id });
       target.onCrash = () => this.closeIdle(id);
       this.targets.set(id, target);
     }
--- a/src/proof/promises/FleetChecker.ts
+++ b/src/proof/promises/FleetChecker.ts
@@ -79,7 +79,7 @@
   private checkStore(at: number): void {
     const { fleet, report } = this.context;
     const { storeWritesPerSecond, storeReadsPerSecond } = fleet.budget;
-    const { seconds } = fleet.store;
+    const { callsBySecond: seconds } = fleet.store;
     // The last second may still grow.
     for (; this.secondsSeen < seconds.length - 1; this.secondsSeen++) {
       const second = seconds[this.secondsSeen];
--- a/src/proof/targetSends.ts
+++ b/src/proof/targetSends.ts
@@ -85,7 +85,7 @@
   // The remaining time is written into the request as it leaves.
   const remainingMs = send.deadlineAt - vm.now();
   fleet.clock.after(fleet.network.hop(vm.options.machine, id), () => {
-    const cancel = target.take(
+    const cancel = target.acceptRequest(
       {
         uid: asked.uid,
         sender: vm.id,
@@ -176,7 +176,7 @@
     vm.enter(() => {
       if (isOver) return;
       isOver = true;
-      vm.dispatch({ kind: 'probeEnded', target: id, end: result, load: target?.report() });
+      vm.dispatch({ kind: 'probeEnded', target: id, end: result, load: target?.getReport() });
       fleet.step('afterAnswer', vm, 'probe');
     });
   if (!canSendTo(vm.state, id, vm.now())) {
@@ -196,7 +196,7 @@
         }
       },
     };
-    target.take(
+    target.acceptRequest(
       {
         uid: `probe of ${id}`,
         sender: vm.id,
--- a/src/standIns/http/StandInServer.ts
+++ b/src/standIns/http/StandInServer.ts
@@ -2,40 +2,45 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Where a stand-in listens. */
-export interface StandInListen {
+/** Listening address of a stand-in. */
+export interface StandInListenOptions {
+  /** IP address to listen on; 127.0.0.1 by default. */
   readonly host?: string;
-  /** 0 takes any free port. */
+  /** Port to listen on; 0, the default, selects any free port. */
   readonly port?: number;
 }
 
 const DEFAULT_HOST = '127.0.0.1';
 
-/** A small HTTP server on loopback that can also refuse connections for a while. */
+/** An HTTP server, on loopback by default, that can refuse connections for a limited time. */
 export class StandInServer {
   /** @internal */
   private constructor(private readonly server: Server) {}
 
   /**
-   * Starts to listen.
-   * @param listen - Where.
-   * @param handler - Answers the requests.
+   * Creates a server and starts listening.
+   * @param listen - Address to listen on.
+   * @param handler - Handles each request.
+   * @throws If the address can't be bound.
    */
-  static async start(listen: StandInListen, handler: RequestListener): Promise<StandInServer> {
+  static async start(
+    listen: StandInListenOptions,
+    handler: RequestListener,
+  ): Promise<StandInServer> {
     const server = new StandInServer(createServer({ keepAliveTimeout: 60_000 }, handler));
     await server.listen(listen.host ?? DEFAULT_HOST, listen.port ?? 0);
     return server;
   }
 
-  /** IP number and port. */
+  /** IP address and port. */
   get address(): string {
     const { address, port } = this.server.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
   /**
-   * Ends all connections and refuses new ones for a while, as a process that restarts.
-   * @param forMs - How long, in milliseconds.
+   * Closes all connections and refuses new ones for a limited time, like a process that restarts.
+   * @param forMs - Time until it listens again, in milliseconds.
    */
   refuse(forMs: number): void {
     const { address, port } = this.server.address() as AddressInfo;
@@ -44,7 +49,7 @@
       .catch(() => {});
   }
 
-  /** Ends all connections and listens no more. */
+  /** Closes all connections and stops listening. */
   async stop(): Promise<void> {
     if (!this.server.listening) return;
     const closed = new Promise((resolve) => {
@@ -67,8 +72,8 @@
 }
 
 /**
- * A request's whole body.
- * @param req - The request.
+ * Reads the complete body of a request.
+ * @param req - Request to read.
  */
 export async function readBody(req: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
--- a/src/standIns/http/startStoreServer.ts
+++ b/src/standIns/http/startStoreServer.ts
@@ -5,39 +5,40 @@
 import { SystemClock } from '../../timing/index.js';
 import type { StoreModelOptions, StoreReply } from '../models/index.js';
 import { StoreModel } from '../models/index.js';
-import type { StandInListen } from './StandInServer.js';
+import type { StandInListenOptions } from './StandInServer.js';
 import { readBody, StandInServer } from './StandInServer.js';
 
-/** How the store stand-in runs. */
-export interface StoreServerOptions extends StandInListen {
+/** Options of the store stand-in. */
+export interface StoreServerOptions extends StandInListenOptions {
   readonly clock?: Clock;
   readonly model?: Partial<StoreModelOptions>;
 }
 
-/** A running store stand-in. */
+/** Handle of a running store stand-in. */
 export interface StoreServer {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
-  /** Its objects, counts and faults; a test changes the faults in place. */
+  /** Objects, call counts and faults of the store; tests modify the faults in place. */
   readonly model: StoreModel;
-  /** Ends all connections and refuses new ones for a while. */
+  /** Closes all connections and refuses new ones for `forMs` milliseconds. */
   refuse(forMs: number): void;
+  /** Closes all connections and stops listening. */
   stop(): Promise<void>;
 }
 
-/** Body of `POST /control`: what is to go wrong from now on. */
+/** Body of `POST /control`: the faults to set; `null` clears one, an absent field keeps it. */
 interface StoreControl {
   readonly down?: 'refusing' | 'hanging' | null;
   readonly extraMs?: number;
-  /** Keys whose writes take effect but are not answered begin with this. */
+  /** Prefix of the keys whose `PUT` takes effect but gets no response. */
   readonly losesAnswersOf?: string | null;
 }
 
 const OBJECTS = '/objects';
 
-type Writer = (result: never) => { status: number; body?: unknown; headers?: object };
+type ResponseFormatter = (result: never) => { status: number; body?: unknown; headers?: object };
 
-const WRITERS: Record<StoreResult['kind'], Writer> = {
+const RESPONSE_FORMATTERS: Record<StoreResult['kind'], ResponseFormatter> = {
   found: ({ entry }: Extract<StoreResult, { kind: 'found' }>) => ({ status: 200, body: entry }),
   listed: ({ entries }: Extract<StoreResult, { kind: 'listed' }>) => ({
     status: 200,
@@ -62,7 +63,7 @@
   unknown: () => ({ status: 500, body: {} }),
 };
 
-function readRead(url: URL, key: string): StoreOp {
+function parseReadOp(url: URL, key: string): StoreOp {
   if (url.pathname === OBJECTS) return { op: 'list', prefix: url.searchParams.get('prefix') ?? '' };
   const after = url.searchParams.get('after');
   if (after === null) return { op: 'get', key };
@@ -70,11 +71,11 @@
   return { op: 'watch', key, after: Number(after), waitMs };
 }
 
-async function readOp(req: IncomingMessage): Promise<StoreOp | undefined> {
+async function parseOp(req: IncomingMessage): Promise<StoreOp | undefined> {
   const url = new URL(req.url ?? '/', 'http://store');
   if (!url.pathname.startsWith(OBJECTS)) return undefined;
   const key = decodeURIComponent(url.pathname.slice(OBJECTS.length + 1));
-  if (req.method === 'GET') return readRead(url, key);
+  if (req.method === 'GET') return parseReadOp(url, key);
   const expect = Number(req.headers['if-match']);
   if (!Number.isSafeInteger(expect)) return undefined;
   if (req.method === 'DELETE') return { op: 'delete', key, expect };
@@ -83,12 +84,12 @@
   return { op: 'put', key, value, expect };
 }
 
-function answer(res: ServerResponse, reply: StoreReply): void {
+function sendReply(res: ServerResponse, reply: StoreReply): void {
   if (reply === 'lost') {
     res.socket?.destroy();
     return;
   }
-  const { status, body, headers } = WRITERS[reply.kind](reply as never);
+  const { status, body, headers } = RESPONSE_FORMATTERS[reply.kind](reply as never);
   res.writeHead(status, { 'content-type': 'application/json', ...headers });
   res.end(body === undefined ? undefined : JSON.stringify(body));
 }
@@ -105,12 +106,19 @@
   }
 }
 
-/** A refused connection can't be answered over HTTP: the nearest is to end it unread. */
+/**
+ * Whether connections are to be refused. An HTTP handler can't refuse a connection that is already
+ * accepted, so the caller closes it without reading the request.
+ */
 function isRefusing(model: StoreModel): boolean {
   return model.faults.down === 'refusing';
 }
 
-async function handle(model: StoreModel, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function handleRequest(
+  model: StoreModel,
+  req: IncomingMessage,
+  res: ServerResponse,
+): Promise<void> {
   if (req.method === 'POST' && req.url === '/control') {
     applyControl(model, JSON.parse((await readBody(req)).toString('utf8')) as StoreControl);
     res.writeHead(204).end();
@@ -120,27 +128,28 @@
     res.socket?.destroy();
     return;
   }
-  const op = await readOp(req);
+  const op = await parseOp(req);
   if (op === undefined) {
     res.writeHead(400).end();
     return;
   }
-  // A store that hangs keeps the connection open and says nothing.
+  // A hanging store keeps the connection open and never responds.
   if (model.faults.down === 'hanging') return;
-  model.call(op, (reply) => answer(res, reply));
+  model.call(op, (reply) => sendReply(res, reply));
 }
 
 /**
- * Starts a small stand-in for the platform's store: `GET`, `PUT` and `DELETE /objects/KEY` with
- * `If-Match`, `GET /objects?prefix=`, `GET /objects/KEY?after=&waitMs=`; `POST /control` for faults.
- * @param options - Where it listens and how it behaves.
+ * Starts a stand-in for the platform's object store. It serves `GET /objects/KEY`, `PUT` and
+ * `DELETE /objects/KEY` with `If-Match`, `GET /objects?prefix=` to list objects and
+ * `GET /objects/KEY?after=&waitMs=` to watch one; `POST /control` sets faults.
+ * @param options - Listening address, clock, rate limits and answer time.
  * @example
  * const store = await startStoreServer({ port: 7000 });
  */
 export async function startStoreServer(options: StoreServerOptions = {}): Promise<StoreServer> {
   const model = new StoreModel(options.clock ?? new SystemClock(), options.model);
   const server = await StandInServer.start(options, (req, res) => {
-    handle(model, req, res).catch(() => res.writeHead(400).end());
+    handleRequest(model, req, res).catch(() => res.writeHead(400).end());
   });
   return {
     address: server.address,
--- a/src/standIns/http/startTargetServer.ts
+++ b/src/standIns/http/startTargetServer.ts
@@ -10,28 +10,30 @@
   TargetRequest,
 } from '../models/index.js';
 import { TargetModel } from '../models/index.js';
-import type { StandInListen } from './StandInServer.js';
+import type { StandInListenOptions } from './StandInServer.js';
 import { readBody, StandInServer } from './StandInServer.js';
 
-/** How the target stand-in runs. */
-export interface TargetServerOptions extends StandInListen {
+/** Options of the target stand-in. */
+export interface TargetServerOptions extends StandInListenOptions {
   readonly clock?: Clock;
+  /** Random numbers uniform in [0, 1) for service times; `Math.random` by default. */
   readonly random?: () => number;
   readonly model?: Partial<TargetModelOptions>;
-  /** Path of probes. */
+  /** Path of health probes. */
   readonly probePath?: string;
 }
 
-/** A running target stand-in. */
+/** Handle of a running target stand-in. */
 export interface TargetServer {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
-  /** What it did, and its faults; a test changes the faults in place. */
+  /** Counters and faults of the target; tests modify the faults in place. */
   readonly model: TargetModel;
+  /** Closes all connections and stops listening. */
   stop(): Promise<void>;
 }
 
-/** Body of `POST /control`: what is to go wrong from now on. */
+/** Body of `POST /control`: the faults to set, and whether to turn cold or crash now. */
 type TargetControl = Partial<Omit<TargetFaults, 'crashesOn'>> & {
   readonly crashesOn?: readonly string[];
   readonly turnCold?: boolean;
@@ -40,18 +42,18 @@
 
 const DEFAULT_PROBE_PATH = '/health';
 
-function getText(req: IncomingMessage, name: string): string | undefined {
+function getHeaderText(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name];
   return typeof value === 'string' ? value : undefined;
 }
 
-function getNumber(req: IncomingMessage, name: string): number | undefined {
-  const text = getText(req, name);
+function getHeaderNumber(req: IncomingMessage, name: string): number | undefined {
+  const text = getHeaderText(req, name);
   return text === undefined ? undefined : Number(text);
 }
 
-/** A request as the model takes it; callers may bring a service time in `x-service-ms`. */
-function readRequest(
+/** Converts an HTTP request for the model; `x-service-ms` sets its service time. */
+function parseRequest(
   req: IncomingMessage,
   probePath: string,
   newConnection: boolean,
@@ -59,18 +61,18 @@
   const method = req.method ?? 'GET';
   const path = req.url ?? '/';
   return {
-    uid: getText(req, 'x-request-id') ?? '',
-    sender: getText(req, 'via') ?? '',
+    uid: getHeaderText(req, 'x-request-id') ?? '',
+    sender: getHeaderText(req, 'via') ?? '',
     fingerprint: `${method} ${path}`,
-    key: getText(req, 'idempotency-key'),
+    key: getHeaderText(req, 'idempotency-key'),
     isProbe: path === probePath,
     newConnection,
-    serviceMs: getNumber(req, 'x-service-ms'),
-    remainingMs: getNumber(req, 'masticlink-deadline-ms'),
+    serviceMs: getHeaderNumber(req, 'x-service-ms'),
+    remainingMs: getHeaderNumber(req, 'masticlink-deadline-ms'),
   };
 }
 
-/** The answer to a request: the request's body, or for an empty one what was asked and of whom. */
+/** Returns the request body, or if it is empty the target, request id and fingerprint as JSON. */
 function getAnswerBody(model: TargetModel, request: TargetRequest, body: Buffer): Buffer {
   if (body.length > 0) return body;
   const { uid, fingerprint } = request;
@@ -88,8 +90,8 @@
 }
 
 function applyControl(model: TargetModel, control: TargetControl): void {
-  const { crashesOn, turnCold, crash, ...rest } = control;
-  Object.assign(model.faults, rest);
+  const { crashesOn, turnCold, crash, ...otherFaults } = control;
+  Object.assign(model.faults, otherFaults);
   if (crashesOn !== undefined) {
     model.faults.crashesOn.clear();
     for (const fingerprint of crashesOn) model.faults.crashesOn.add(fingerprint);
@@ -98,19 +100,19 @@
   if (crash === true) model.crash();
 }
 
-function serve(
+function serveRequest(
   model: TargetModel,
   request: TargetRequest,
   body: Buffer,
   res: ServerResponse,
 ): void {
-  const answer = getAnswerBody(model, request, body);
-  const cancel = model.take(request, {
-    answered: (status, report) => writeHead(res, status, report, answer.length),
+  const answerBody = getAnswerBody(model, request, body);
+  const cancel = model.acceptRequest(request, {
+    answered: (status, report) => writeHead(res, status, report, answerBody.length),
     ended: (end) => {
-      if (end === 'complete') res.end(answer);
+      if (end === 'complete') res.end(answerBody);
       else if (end === 'cut') {
-        const half = answer.subarray(0, Math.floor(answer.length / 2));
+        const half = answerBody.subarray(0, Math.floor(answerBody.length / 2));
         res.write(half, () => res.socket?.destroy());
       } else res.socket?.destroy();
     },
@@ -121,9 +123,9 @@
 }
 
 /**
- * Starts a small stand-in for a target: slots, cold start, connection cost, load report in headers;
- * `POST /control` for faults.
- * @param options - Where it listens and how it behaves.
+ * Starts a stand-in for a target. It simulates slots, cold start and the cost of new connections,
+ * and reports its load in response headers; `POST /control` sets faults.
+ * @param options - Listening address, clock, probe path and behaviour of the target.
  * @example
  * const target = await startTargetServer({ model: { id: 'horaires/t0', slots: 2 } });
  */
@@ -131,10 +133,10 @@
   const clock = options.clock ?? new SystemClock();
   const model = new TargetModel(clock, options.random ?? Math.random, options.model);
   const probePath = options.probePath ?? DEFAULT_PROBE_PATH;
-  const seen = new WeakSet<Socket>();
+  const knownSockets = new WeakSet<Socket>();
   const server = await StandInServer.start(options, (req, res) => {
-    const isNew = !seen.has(req.socket);
-    seen.add(req.socket);
+    const isNewConnection = !knownSockets.has(req.socket);
+    knownSockets.add(req.socket);
     if (model.isDown) {
       req.socket.destroy();
       return;
@@ -144,7 +146,7 @@
         if (req.method === 'POST' && req.url === '/control') {
           applyControl(model, JSON.parse(body.toString('utf8')) as TargetControl);
           res.writeHead(204).end();
-        } else serve(model, readRequest(req, probePath, isNew), body, res);
+        } else serveRequest(model, parseRequest(req, probePath, isNewConnection), body, res);
       })
       .catch(() => res.destroy());
   });
--- a/src/standIns/models/StoreModel.ts
+++ b/src/standIns/models/StoreModel.ts
@@ -1,7 +1,7 @@
 import type { StoreEntry, StoreOp, StoreResult } from '../../core/index.js';
 import type { Clock } from '../../timing/index.js';
 
-/** Rates that the store bears, and how fast it answers. */
+/** Rate limits and answer time of the store. */
 export interface StoreModelOptions {
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
@@ -9,28 +9,29 @@
   readonly answerMs: number;
 }
 
-/** What is wrong with the store now; a test changes it in place. */
+/** Faults injected into the store; tests modify them in place. */
 export interface StoreFaults {
-  /** `refusing`: no connection comes about. `hanging`: calls are taken and never answered. */
+  /** `refusing`: connections are refused. `hanging`: calls are accepted but never answered. */
   down?: 'refusing' | 'hanging';
-  /** Added to each answer, in milliseconds. */
+  /** Latency added to each answer, in milliseconds. */
   extraMs: number;
-  /** Chooses the calls that take effect but whose answer is lost. */
+  /** Selects the calls that take effect but whose answer is lost; not applied to watches. */
   losesAnswer?: (op: StoreOp) => boolean;
 }
 
-/** Calls that the store counted in one second of the clock. */
-export interface StoreSecond {
+/** Calls in one second of the clock, throttled ones included. */
+export interface StoreCallCounts {
+  /** Clock time in whole seconds. */
   readonly second: number;
   writes: number;
-  /** Reads, and one more for each watch that waits. */
+  /** Reads, plus one for each watch that was pending at the second's first call. */
   reads: number;
 }
 
-/** What a caller of the store sees; `lost` stands for a call whose answer never comes. */
+/** Result of a call as its caller sees it; `lost` means that no answer will ever arrive. */
 export type StoreReply = StoreResult | 'lost';
 
-interface WaitingWatch {
+interface PendingWatch {
   readonly key: string;
   readonly after: number;
   readonly reply: (result: StoreReply) => void;
@@ -42,21 +43,21 @@
   answerMs: 3,
 };
 
-/** The platform's object store in memory: versions, conditional updates, watches, rates. */
+/** In-memory object store with versions, conditional writes, watches and rate limits. */
 export class StoreModel {
   readonly faults: StoreFaults = { extraMs: 0 };
 
-  /** Calls by second, oldest first. */
-  readonly seconds: StoreSecond[] = [];
+  /** Number of calls in each second that had any, oldest first. */
+  readonly callsBySecond: StoreCallCounts[] = [];
 
-  /** Calls that were refused for being over the rates. */
-  throttled = 0;
+  /** Number of calls rejected because a rate limit was exceeded. */
+  throttledCalls = 0;
 
   /** @internal */
   private readonly entries = new Map<string, StoreEntry>();
 
   /** @internal */
-  private readonly watches = new Set<WaitingWatch>();
+  private readonly watches = new Set<PendingWatch>();
 
   /** @internal */
   private readonly options: StoreModelOptions;
@@ -65,8 +66,8 @@
   private version = 0;
 
   /**
-   * @param clock - Time to go by.
-   * @param options - Rates and answer time; the defaults are those of the brief.
+   * @param clock - Source of time and timers.
+   * @param options - Rate limits and answer time; the defaults are the platform's specification.
    */
   constructor(
     private readonly clock: Clock,
@@ -76,25 +77,25 @@
   }
 
   /**
-   * Reads an object as it stands, past all faults and counts; for tests.
-   * @param key - The object's key.
+   * Returns the current state of an object, bypassing faults and call counts; for tests.
+   * @param key - Key of the object.
    */
   peek(key: string): StoreEntry | undefined {
     return this.entries.get(key);
   }
 
   /**
-   * The objects below a prefix as they are, without a call.
-   * @param prefix - Beginning of their keys.
+   * Returns all objects whose keys start with a prefix, bypassing faults and call counts.
+   * @param prefix - Key prefix.
    */
   peekAll(prefix: string): StoreEntry[] {
     return [...this.entries.values()].filter(({ key }) => key.startsWith(prefix));
   }
 
   /**
-   * Makes one call.
-   * @param op - The call.
-   * @param reply - Hears the answer once, or `lost` at once if no answer will ever come.
+   * Executes one call.
+   * @param op - Operation to execute.
+   * @param reply - Called once with the result, or immediately with `lost` if the answer is lost.
    * @example
    * store.call({ op: 'get', key: 'config/root' }, (result) => console.log(result));
    */
@@ -108,33 +109,37 @@
       reply('lost');
       return;
     }
-    if (!this.countCall(op)) {
-      this.throttled += 1;
-      this.answerLater(reply, { kind: 'throttled', retryAfterMs: 1_000 }, extraMs);
+    if (!this.tryCountCall(op)) {
+      this.throttledCalls += 1;
+      this.scheduleReply(reply, { kind: 'throttled', retryAfterMs: 1_000 }, extraMs);
       return;
     }
-    const lost = this.faults.losesAnswer?.(op) ?? false;
+    const isAnswerLost = this.faults.losesAnswer?.(op) ?? false;
     if (op.op === 'watch') {
       this.watch(op, reply);
       return;
     }
     const result = this.apply(op);
-    if (lost) reply('lost');
-    else this.answerLater(reply, result, extraMs);
+    if (isAnswerLost) reply('lost');
+    else this.scheduleReply(reply, result, extraMs);
   }
 
   /** @internal */
-  private answerLater(reply: (r: StoreReply) => void, result: StoreResult, extraMs: number): void {
+  private scheduleReply(
+    reply: (r: StoreReply) => void,
+    result: StoreResult,
+    extraMs: number,
+  ): void {
     this.clock.after(this.options.answerMs + extraMs, () => reply(result));
   }
 
-  /** Counts a call; false if it is over the rate of this second. @internal */
-  private countCall(op: StoreOp): boolean {
+  /** Counts a call; returns false if it exceeds this second's rate limit. @internal */
+  private tryCountCall(op: StoreOp): boolean {
     const second = Math.floor(this.clock.now() / 1_000);
-    let current = this.seconds.at(-1);
+    let current = this.callsBySecond.at(-1);
     if (current === undefined || current.second !== second) {
       current = { second, writes: 0, reads: this.watches.size };
-      this.seconds.push(current);
+      this.callsBySecond.push(current);
     }
     if (op.op === 'put' || op.op === 'delete') {
       current.writes += 1;
@@ -158,13 +163,13 @@
     if (version !== op.expect) return { kind: 'conflict', version };
     this.version += 1;
     if (op.op === 'put') {
-      // A copy, as over a network: the writer may go on changing what it gave.
+      // Stores a copy, as a network call would: the writer may modify its object afterwards.
       const value: unknown = JSON.parse(JSON.stringify(op.value));
       this.entries.set(op.key, { key: op.key, version: this.version, value });
     } else {
       this.entries.delete(op.key);
     }
-    this.wakeWatches(op.key);
+    this.notifyWatches(op.key);
     return { kind: 'written', version: this.version };
   }
 
@@ -172,29 +177,29 @@
   private watch(op: Extract<StoreOp, { op: 'watch' }>, reply: (r: StoreReply) => void): void {
     const entry = this.entries.get(op.key);
     if (entry !== undefined && entry.version > op.after) {
-      this.answerLater(reply, { kind: 'found', entry }, this.faults.extraMs);
+      this.scheduleReply(reply, { kind: 'found', entry }, this.faults.extraMs);
       return;
     }
-    const waiting: WaitingWatch = { key: op.key, after: op.after, reply };
-    this.watches.add(waiting);
+    const pending: PendingWatch = { key: op.key, after: op.after, reply };
+    this.watches.add(pending);
     this.clock.after(op.waitMs, () => {
-      if (!this.watches.delete(waiting)) return;
+      if (!this.watches.delete(pending)) return;
       const { down, extraMs } = this.faults;
-      if (down === undefined) this.answerLater(reply, { kind: 'unchanged' }, extraMs);
+      if (down === undefined) this.scheduleReply(reply, { kind: 'unchanged' }, extraMs);
       else reply('lost');
     });
   }
 
   /** @internal */
-  private wakeWatches(key: string): void {
+  private notifyWatches(key: string): void {
     const entry = this.entries.get(key);
-    for (const waiting of this.watches) {
-      if (waiting.key !== key) continue;
-      if (entry !== undefined && entry.version <= waiting.after) continue;
-      this.watches.delete(waiting);
+    for (const pending of this.watches) {
+      if (pending.key !== key) continue;
+      if (entry !== undefined && entry.version <= pending.after) continue;
+      this.watches.delete(pending);
       const result: StoreResult =
         entry === undefined ? { kind: 'missing' } : { kind: 'found', entry };
-      this.answerLater(waiting.reply, result, this.faults.extraMs);
+      this.scheduleReply(pending.reply, result, this.faults.extraMs);
     }
   }
 }
--- a/src/standIns/models/TargetModel.ts
+++ b/src/standIns/models/TargetModel.ts
@@ -10,18 +10,18 @@
 } from './TargetModelOptions.js';
 import { DEFAULT_TARGET_OPTIONS } from './TargetModelOptions.js';
 
-interface Work {
+interface PendingWork {
   readonly request: TargetRequest;
   readonly listener: TargetListener;
   cancelTimer?: CancelTimer;
   cancelDeadline?: CancelTimer;
 }
 
-const FAST_MS = 1;
+const IMMEDIATE_ANSWER_MS = 1;
 
 /**
- * A back end with a few slots: what exceeds them waits in it, and while it is cold it bears only a
- * little and falls over under more.
+ * Simulates a back end with a fixed number of slots; requests beyond them wait in a queue. While
+ * cold, it has a lower capacity and crashes if more requests than that are outstanding.
  */
 export class TargetModel {
   readonly faults: TargetFaults = {
@@ -35,49 +35,52 @@
 
   readonly options: TargetModelOptions;
 
-  /** Times it fell over for being given more than it bore while cold. */
-  fallsOver = 0;
+  /** Number of crashes caused by exceeding the capacity while cold. */
+  overloadCrashes = 0;
 
+  /** Number of crashes, overload crashes included. */
   crashes = 0;
 
+  /** Highest number of requests and probes that ran at the same time. */
   peakRunning = 0;
 
-  /** Slot time that probes and requests took, in milliseconds. */
+  /** Total service time of probes, in milliseconds. */
   probeMs = 0;
 
+  /** Total service time of requests, in milliseconds. */
   workMs = 0;
 
-  /** Hears each piece of work as it begins. */
+  /** Called when a request or probe starts to run. */
   onStart?: (start: TargetStart) => void;
 
-  /** Hears that its process ended. */
+  /** Called after each crash, before outstanding requests are reset. */
   onCrash?: () => void;
 
-  /** Hears that it fell over. */
-  onFall?: () => void;
+  /** Called when it is about to crash because of overload while cold. */
+  onOverloadCrash?: () => void;
 
   /** @internal */
-  private readonly running = new Set<Work>();
+  private readonly running = new Set<PendingWork>();
 
   /** @internal */
-  private readonly waiting: Work[] = [];
+  private readonly waiting: PendingWork[] = [];
 
   /** @internal */
-  private boot = 1;
+  private bootCount = 1;
 
-  /** Completions since it was cold last; undefined once it is warm. @internal */
-  private coldDone?: number;
+  /** Requests completed since it last turned cold; undefined when warm. @internal */
+  private completedWhileCold?: number;
 
   /** @internal */
   private downUntil = 0;
 
   /** @internal */
-  private reported = { at: Number.NEGATIVE_INFINITY, load: 0 };
+  private lastLoadReport = { at: Number.NEGATIVE_INFINITY, load: 0 };
 
   /**
-   * @param clock - Time to go by.
-   * @param random - Uniform in [0, 1).
-   * @param options - How it behaves.
+   * @param clock - Source of time and timers.
+   * @param random - Random numbers uniform in [0, 1).
+   * @param options - Behaviour that differs from the defaults.
    */
   constructor(
     private readonly clock: Clock,
@@ -85,55 +88,60 @@
     options: Partial<TargetModelOptions> = {},
   ) {
     this.options = { ...DEFAULT_TARGET_OPTIONS, ...options };
-    if (this.options.startsCold) this.coldDone = 0;
+    if (this.options.startsCold) this.completedWhileCold = 0;
   }
 
-  /** Requests and probes that it holds, running or waiting. */
-  get held(): number {
+  /** Number of requests and probes that are running or waiting. */
+  get outstanding(): number {
     return this.running.size + this.waiting.length;
   }
 
+  /** Whether its caches are not warm yet: it is slower and its capacity is lower. */
   get isCold(): boolean {
-    return this.coldDone !== undefined;
+    return this.completedWhileCold !== undefined;
   }
 
+  /** Whether it is restarting after a crash and accepts no connections. */
   get isDown(): boolean {
     return this.clock.now() < this.downUntil;
   }
 
-  /** Changes with each restart. */
+  /** Identifier of the current run; changes with each restart. */
   get bootId(): string {
-    return `${this.options.id}#${this.boot}`;
+    return `${this.options.id}#${this.bootCount}`;
   }
 
-  /** Requests that it bears at once now. */
-  get bears(): number {
-    if (this.coldDone === undefined) return this.options.slots;
-    let bears = 1;
-    let needed = this.options.coldRounds;
-    while (this.coldDone >= needed && bears < this.options.slots) {
-      bears *= 2;
-      needed += bears * this.options.coldRounds;
+  /**
+   * Number of requests that it can currently handle at once. While cold, this starts at 1 and
+   * doubles after every `coldRounds` times that many completed requests, up to `slots`.
+   */
+  get capacity(): number {
+    if (this.completedWhileCold === undefined) return this.options.slots;
+    let limit = 1;
+    let requiredCompletions = this.options.coldRounds;
+    while (this.completedWhileCold >= requiredCompletions && limit < this.options.slots) {
+      limit *= 2;
+      requiredCompletions += limit * this.options.coldRounds;
     }
-    return Math.min(bears, this.options.slots);
+    return Math.min(limit, this.options.slots);
   }
 
-  /** Makes it cold without a restart, as when its caches are emptied. */
+  /** Makes it cold without a restart, as if its caches had been cleared. */
   turnCold(): void {
-    this.coldDone = 0;
+    this.completedWhileCold = 0;
   }
 
-  /** Ends its process and starts it anew, cold, after `restartMs`. */
+  /** Ends the process and resets all outstanding requests; it restarts cold after `restartMs`. */
   crash(): void {
     this.crashes += 1;
-    const lost = [...this.running, ...this.waiting];
+    const lostWork = [...this.running, ...this.waiting];
     this.running.clear();
     this.waiting.length = 0;
-    this.boot += 1;
-    this.coldDone = 0;
+    this.bootCount += 1;
+    this.completedWhileCold = 0;
     this.downUntil = this.clock.now() + this.options.restartMs;
     this.onCrash?.();
-    for (const work of lost) {
+    for (const work of lostWork) {
       work.cancelTimer?.();
       work.cancelDeadline?.();
       work.listener.ended('reset');
@@ -141,58 +149,59 @@
   }
 
   /**
-   * Gives it a request or a probe.
-   * @param request - The request.
-   * @param listener - Hears what becomes of it.
-   * @returns Cancels it; the listener then hears nothing more.
+   * Accepts or rejects a request or probe.
+   * @param request - Request or probe.
+   * @param listener - Notified of the response and of its end.
+   * @returns Cancels the request; the listener is not notified afterwards.
    * @example
-   * const cancel = target.take(request, { answered: () => {}, ended: (end) => console.log(end) });
+   * const listener = { answered: () => {}, ended: (end) => console.log(end) };
+   * const cancel = target.acceptRequest(request, listener);
    */
-  take(request: TargetRequest, listener: TargetListener): () => void {
+  acceptRequest(request: TargetRequest, listener: TargetListener): () => void {
     if (this.isDown) {
       listener.ended('notSent');
       return () => {};
     }
     const { draining, sheds, failsFast } = this.faults;
-    const full = this.waiting.length >= this.options.maxWaiting;
-    if (sheds || (draining && !request.isProbe) || full) return this.answerFast(503, listener);
-    const work: Work = { request, listener };
+    const isFull = this.waiting.length >= this.options.maxWaiting;
+    if (sheds || (draining && !request.isProbe) || isFull) return this.answerNow(503, listener);
+    const work: PendingWork = { request, listener };
     if (request.remainingMs !== undefined) {
-      work.cancelDeadline = this.clock.after(request.remainingMs, () => this.drop(work));
+      work.cancelDeadline = this.clock.after(request.remainingMs, () => this.cancelWork(work));
     }
-    if (this.running.size < this.options.slots) this.start(work, failsFast);
+    if (this.running.size < this.options.slots) this.startWork(work, failsFast);
     else this.waiting.push(work);
-    if (this.isCold && this.held > this.bears) {
-      this.fallsOver += 1;
-      this.onFall?.();
+    if (this.isCold && this.outstanding > this.capacity) {
+      this.overloadCrashes += 1;
+      this.onOverloadCrash?.();
       this.crash();
     }
-    return () => this.drop(work);
+    return () => this.cancelWork(work);
   }
 
-  /** What its health and load endpoint and its answers' headers say. */
-  report(): TargetReport {
+  /** Returns the report that it sends in response headers and to probes. */
+  getReport(): TargetReport {
     const now = this.clock.now();
-    if (now - this.reported.at >= this.options.reportLagMs) {
-      this.reported = { at: now, load: this.running.size / this.options.slots };
+    if (now - this.lastLoadReport.at >= this.options.reportLagMs) {
+      this.lastLoadReport = { at: now, load: this.running.size / this.options.slots };
     }
     return {
       bootId: this.bootId,
-      load: this.faults.misleadingLoad ?? this.reported.load,
+      load: this.faults.misleadingLoad ?? this.lastLoadReport.load,
       draining: this.faults.draining,
     };
   }
 
   /** @internal */
-  private answerFast(status: number, listener: TargetListener): () => void {
-    return this.clock.after(FAST_MS, () => {
-      listener.answered(status, this.report());
+  private answerNow(status: number, listener: TargetListener): () => void {
+    return this.clock.after(IMMEDIATE_ANSWER_MS, () => {
+      listener.answered(status, this.getReport());
       listener.ended('complete');
     });
   }
 
   /** @internal */
-  private start(work: Work, failsFast: boolean): void {
+  private startWork(work: PendingWork, failsFast: boolean): void {
     const { request } = work;
     this.running.add(work);
     this.peakRunning = Math.max(this.peakRunning, this.running.size);
@@ -201,52 +210,54 @@
       target: this.options.id,
       request,
       running: this.running.size,
-      held: this.held,
-      bears: this.bears,
+      held: this.outstanding,
+      bears: this.capacity,
       cold: this.isCold,
     });
     if (this.faults.crashesOn.has(request.fingerprint)) {
       work.cancelTimer = this.clock.after(this.options.crashMs, () => this.crash());
       return;
     }
-    const serviceMs = failsFast ? FAST_MS : this.getServiceMs(request);
+    const serviceMs = failsFast ? IMMEDIATE_ANSWER_MS : this.getServiceMs(request);
     if (request.isProbe) this.probeMs += serviceMs;
     else this.workMs += serviceMs;
-    work.cancelTimer = this.clock.after(serviceMs, () => this.finish(work, failsFast ? 500 : 200));
+    work.cancelTimer = this.clock.after(serviceMs, () =>
+      this.finishWork(work, failsFast ? 500 : 200),
+    );
   }
 
   /** @internal */
   private getServiceMs(request: TargetRequest): number {
     const { options } = this;
-    const own = request.isProbe
+    const baseMs = request.isProbe
       ? options.probeCostMs
       : (request.serviceMs ?? drawLognormal(this.random, options.meanServiceMs, options.sigma));
-    const factor = this.faults.slowFactor * (this.isCold ? options.coldFactor : 1);
-    return own * factor + (request.newConnection ? options.connectionCostMs : 0);
+    const slowdownFactor = this.faults.slowFactor * (this.isCold ? options.coldFactor : 1);
+    return baseMs * slowdownFactor + (request.newConnection ? options.connectionCostMs : 0);
   }
 
   /** @internal */
-  private finish(work: Work, status: number): void {
-    if (!this.release(work)) return;
-    if (this.coldDone !== undefined && !work.request.isProbe) {
-      this.coldDone += 1;
-      if (this.bears >= this.options.slots) this.coldDone = undefined;
+  private finishWork(work: PendingWork, status: number): void {
+    if (!this.releaseSlot(work)) return;
+    if (this.completedWhileCold !== undefined && !work.request.isProbe) {
+      this.completedWhileCold += 1;
+      if (this.capacity >= this.options.slots) this.completedWhileCold = undefined;
     }
-    work.listener.answered(status, this.report());
+    work.listener.answered(status, this.getReport());
     work.listener.ended(this.faults.cutsAnswers ? 'cut' : 'complete');
     this.startNext();
   }
 
   /** @internal */
-  private drop(work: Work): void {
+  private cancelWork(work: PendingWork): void {
     const index = this.waiting.indexOf(work);
     if (index >= 0) this.waiting.splice(index, 1);
     work.cancelDeadline?.();
-    if (this.release(work)) this.startNext();
+    if (this.releaseSlot(work)) this.startNext();
   }
 
   /** @internal */
-  private release(work: Work): boolean {
+  private releaseSlot(work: PendingWork): boolean {
     work.cancelTimer?.();
     work.cancelDeadline?.();
     return this.running.delete(work);
@@ -256,6 +267,6 @@
   private startNext(): void {
     if (this.running.size >= this.options.slots) return;
     const next = this.waiting.shift();
-    if (next !== undefined) this.start(next, this.faults.failsFast);
+    if (next !== undefined) this.startWork(next, this.faults.failsFast);
   }
 }
--- a/src/standIns/models/TargetModelOptions.ts
+++ b/src/standIns/models/TargetModelOptions.ts
@@ -1,30 +1,33 @@
-/** How one target behaves when nothing is wrong with it. Times in milliseconds. */
+/** Behaviour of a target without faults. Times are in milliseconds. */
 export interface TargetModelOptions {
   readonly id: string;
+  /** Requests and probes that it runs at once. */
   readonly slots: number;
+  /** Service time added to a request on a new connection. */
   readonly connectionCostMs: number;
+  /** Service time of a probe. */
   readonly probeCostMs: number;
-  /** Mean service time of requests that bring none along. */
+  /** Mean service time of requests that don't specify one. */
   readonly meanServiceMs: number;
   /** Standard deviation of the logarithm of those service times. */
   readonly sigma: number;
-  /** Requests that wait in the target beyond its slots before it sheds with 503. */
+  /** Length of the queue; when it is full, further requests are answered with 503. */
   readonly maxWaiting: number;
-  /** While cold, it does this many full rounds of what it bears before it bears twice as much. */
+  /** While cold, the capacity doubles after this many completed requests per unit of capacity. */
   readonly coldRounds: number;
-  /** Service takes so many times longer while the target is cold. */
+  /** Multiplier of the service time while cold. */
   readonly coldFactor: number;
-  /** From falling over or crashing to accepting connections again. */
+  /** Time from a crash until it accepts connections again. */
   readonly restartMs: number;
-  /** From the start of a request that crashes the target to the crash. */
+  /** Time from the start of a request that crashes the target until the crash. */
   readonly crashMs: number;
-  /** Age of what the load report says. */
+  /** Time for which a reported load is reused before it is updated. */
   readonly reportLagMs: number;
-  /** True if it begins cold, as after a start; false if it has run for long. */
+  /** Whether it starts cold, like a process that has just started; otherwise it starts warm. */
   readonly startsCold: boolean;
 }
 
-/** A target of two slots that has run for long. */
+/** Defaults: a warm target with two slots. */
 export const DEFAULT_TARGET_OPTIONS: TargetModelOptions = {
   id: 'target',
   slots: 2,
@@ -41,62 +44,71 @@
   startsCold: false,
 };
 
-/** What is wrong with the target now; a test changes it in place. */
+/** Faults injected into a target; tests modify them in place. */
 export interface TargetFaults {
-  /** Service takes so many times longer than usual. */
+  /** Multiplier of the service time; 1 means no fault. */
   slowFactor: number;
+  /** Reports that it is draining and answers requests other than probes with 503. */
   draining: boolean;
-  /** Answers 500 at once, having done something or not. */
+  /** Fails requests with 500 almost immediately after they start. */
   failsFast: boolean;
-  /** Answers 503 at once without running anything. */
+  /** Answers all requests and probes with 503 almost immediately, without running them. */
   sheds: boolean;
-  /** What the load report says instead of the truth, between 0 and 1. */
+  /** Load to report instead of the actual one, between 0 and 1. */
   misleadingLoad?: number;
-  /** Ends the connection after the answer's head. */
+  /** Closes the connection after the response head, before the body is complete. */
   cutsAnswers: boolean;
-  /** Fingerprints of requests that crash it. */
+  /** Fingerprints of the requests that crash the target. */
   readonly crashesOn: Set<string>;
 }
 
-/** One request or probe as a target gets it. */
+/** A request or probe as received by a target. */
 export interface TargetRequest {
-  /** Identity that the outside gave the request, whatever entry VM sends it. */
+  /** Request id assigned outside the fleet; the same whichever entry VM sends the request. */
   readonly uid: string;
-  /** Process that sends it. */
+  /** Process that sent the request. */
   readonly sender: string;
   readonly fingerprint: string;
   readonly key?: string;
   readonly isProbe: boolean;
+  /** Whether it is the first request on its connection. */
   readonly newConnection: boolean;
-  /** Service time; drawn by the target if absent. */
+  /** Service time in milliseconds; drawn at random by the target if absent. */
   readonly serviceMs?: number;
-  /** Time that the deadline leaves; the target gives up the request after it. */
+  /** Time until the deadline, in milliseconds; the target then abandons the request. */
   readonly remainingMs?: number;
 }
 
-/** What a target says in its answers' headers. */
+/** State that a target reports in its response headers. */
 export interface TargetReport {
+  /** Identifier of the current run; changes with each restart. */
   readonly bootId: string;
+  /** Share of the slots in use, between 0 and 1. */
   readonly load: number;
   readonly draining: boolean;
 }
 
-/** Hears what becomes of a request. `ended` comes exactly once, unless it was cancelled. */
+/**
+ * Receives the outcome of a request. `ended` is called exactly once, unless the request is
+ * cancelled or its deadline passes.
+ */
 export interface TargetListener {
   answered(status: number, report: TargetReport): void;
   ended(end: 'complete' | 'reset' | 'cut' | 'notSent'): void;
 }
 
-/** One piece of work as the target saw it begin. */
+/** Start of a request or probe, with the state of the target at that time. */
 export interface TargetStart {
+  /** Clock time of the start, in milliseconds. */
   readonly at: number;
+  /** Id of the target. */
   readonly target: string;
   readonly request: TargetRequest;
-  /** Requests and probes that run, this one among them. */
+  /** Number of running requests and probes, including this one. */
   readonly running: number;
-  /** Requests and probes that the target was given and that wait or run. */
+  /** Number of running and waiting requests and probes. */
   readonly held: number;
-  /** What it bears at once now. */
+  /** Capacity of the target at that time. */
   readonly bears: number;
   readonly cold: boolean;
 }
--- a/src/standIns/models/VmListModel.ts
+++ b/src/standIns/models/VmListModel.ts
@@ -1,22 +1,22 @@
 import type { VmListEntry } from '../../core/index.js';
 import type { Clock } from '../../timing/index.js';
 
-interface Snapshot {
+interface VmListSnapshot {
   readonly at: number;
   readonly vms: readonly VmListEntry[];
 }
 
-/** The platform's list of VMs, which tells of each change only after a lag. */
+/** Model of the platform's VM list, which shows each change only after a delay. */
 export class VmListModel {
-  /** How long a change takes to show, in milliseconds; a test may change it. */
+  /** Delay until a change becomes visible, in milliseconds; tests may modify it. */
   lagMs: number;
 
   /** @internal */
-  private readonly snapshots: Snapshot[] = [];
+  private readonly snapshots: VmListSnapshot[] = [];
 
   /**
-   * @param clock - Time to go by.
-   * @param lagMs - How long a change takes to show, in milliseconds.
+   * @param clock - Source of time.
+   * @param lagMs - Delay until a change becomes visible, in milliseconds.
    */
   constructor(
     private readonly clock: Clock,
@@ -26,17 +26,17 @@
   }
 
   /**
-   * Sets how things really stand now.
+   * Records the actual state of all VMs at the current time.
    * @param vms - All VMs.
    */
-  set(vms: readonly VmListEntry[]): void {
+  setVms(vms: readonly VmListEntry[]): void {
     this.snapshots.push({ at: this.clock.now(), vms });
   }
 
-  /** The list as the platform shows it now: how things stood a lag ago. */
-  read(): readonly VmListEntry[] {
-    const latest = this.clock.now() - this.lagMs;
-    const shown = this.snapshots.findLast(({ at }) => at <= latest) ?? this.snapshots[0];
-    return shown?.vms ?? [];
+  /** Returns the list that was current `lagMs` ago, or the first one if there was none yet. */
+  getVisibleVms(): readonly VmListEntry[] {
+    const visibleUntil = this.clock.now() - this.lagMs;
+    const visible = this.snapshots.findLast(({ at }) => at <= visibleUntil) ?? this.snapshots[0];
+    return visible?.vms ?? [];
   }
 }
--- a/src/standIns/models/index.ts
+++ b/src/standIns/models/index.ts
@@ -1,6 +1,6 @@
 export { createRandom, drawLognormal } from './random.js';
 export { StoreModel } from './StoreModel.js';
-export type { StoreFaults, StoreModelOptions, StoreReply, StoreSecond } from './StoreModel.js';
+export type { StoreFaults, StoreModelOptions, StoreReply, StoreCallCounts } from './StoreModel.js';
 export { TargetModel } from './TargetModel.js';
 export type {
   TargetFaults,
--- a/src/standIns/models/random.ts
+++ b/src/standIns/models/random.ts
@@ -1,6 +1,7 @@
 /**
- * A seeded generator of numbers uniform in [0, 1) (mulberry32): the same run for the same seed.
- * @param seed - Any integer.
+ * Creates a seeded generator of numbers uniform in [0, 1) (mulberry32). Equal seeds give equal
+ * sequences.
+ * @param seed - Any integer; only its low 32 bits are used.
  * @example
  * const random = createRandom(7);
  */
@@ -16,7 +17,7 @@
 
 /**
  * Draws from a lognormal distribution.
- * @param random - Uniform in [0, 1).
+ * @param random - Random numbers uniform in [0, 1).
  * @param mean - Mean of the distribution.
  * @param sigma - Standard deviation of the logarithm.
  */
--- a/src/tests/core/storeCalls/budget.test.ts
+++ b/src/tests/core/storeCalls/budget.test.ts
@@ -59,5 +59,5 @@
     (time) => time > restoredAt && time <= restoredAt + 10,
   );
   t.true(firstCalls.length <= 12, `${firstCalls.length} calls in the first 10 ms`);
-  t.is(fleet.store.throttled, 0);
+  t.is(fleet.store.throttledCalls, 0);
 });
--- a/src/tests/standIns/models.test.ts
+++ b/src/tests/standIns/models.test.ts
@@ -13,8 +13,8 @@
   };
 }
 
-// Two operators write the same object from the same base. The second must be told of a conflict,
-// or the first one's change would vanish without a word.
+// Two operators write the same object based on the same version. The second write must be answered
+// with a conflict; otherwise it would silently overwrite the first one.
 test('the store writes only from the latest version and wakes a watch', (t) => {
   const clock = new VirtualClock();
   const store = new StoreModel(clock);
@@ -27,8 +27,8 @@
   t.snapshot(replies);
 });
 
-// The answer to a write is lost after the write took effect. Who takes that for a failure and
-// writes again finds a conflict with its own change.
+// The answer to a write is lost after the write took effect. A caller that treats this as a failure
+// and writes again gets a conflict with its own change.
 test('the store can lose an answer after the effect', (t) => {
   const clock = new VirtualClock();
   const store = new StoreModel(clock);
@@ -40,21 +40,22 @@
   t.is(store.peek('a')?.value, 1);
 });
 
-// A cold back end is sent as much as a warm one. It falls over, resets all that it held and is
-// cold again, so callers lose requests that one by one would have been answered.
-test('a cold target falls over under more than it bears and ramps with work done', (t) => {
+// A cold back end gets as many requests as a warm one. It crashes, resets all outstanding requests
+// and restarts cold, so callers lose requests that would have been answered one at a time.
+test('a cold target crashes above its capacity, which grows as requests complete', (t) => {
   const clock = new VirtualClock();
   const target = new TargetModel(clock, () => 0.5, { startsCold: true, slots: 4 });
   const log: string[] = [];
-  const take = (uid: string) => target.take({ ...REQUEST, uid, serviceMs: 10 }, listen(log, uid));
-  take('first');
+  const send = (uid: string) =>
+    target.acceptRequest({ ...REQUEST, uid, serviceMs: 10 }, listen(log, uid));
+  send('first');
   clock.runUntil(50);
-  t.is(target.bears, 2);
-  for (const uid of ['second', 'third', 'fourth']) take(uid);
-  t.is(target.fallsOver, 1);
-  take('fifth');
+  t.is(target.capacity, 2);
+  for (const uid of ['second', 'third', 'fourth']) send(uid);
+  t.is(target.overloadCrashes, 1);
+  send('fifth');
   clock.runUntil(1_000);
-  t.is(target.bears, 1);
+  t.is(target.capacity, 1);
   t.deepEqual(log, [
     'first answered 200',
     'first complete',
