--- a/src/soak/FaultProxy.ts
+++ b/src/soak/FaultProxy.ts
@@ -3,25 +3,25 @@
 
 import { resetSocket } from './resetSocket.js';
 
-/** What a proxy does with what passes through it. */
-export type LinkMood =
+/** How a proxy treats the connections and data that it forwards. */
+export type LinkMode =
   | 'sound'
-  /** Each piece comes late. */
+  /** Data is forwarded after `DELAY_MS`. */
   | 'delayed'
-  /** New connections and old ones are reset. */
+  /** Open connections are reset, and new ones as soon as they are accepted. */
   | 'reset'
-  /** Nothing passes, and nobody is told. */
+  /** Data and closes are dropped in both directions; connections stay open. */
   | 'silent'
-  /** What the far side says is lost. */
+  /** Data and closes from the far side are dropped. */
   | 'oneWay';
 
-/** How late pieces come on a delayed link, in milliseconds. */
+/** Delay of each chunk on a delayed link, in milliseconds. */
 const DELAY_MS = 150;
 
-/** A connection between two processes that can be disturbed from outside them. */
+/** TCP proxy between two processes that injects network faults. */
 export class FaultProxy {
   /** @internal */
-  private mood: LinkMood = 'sound';
+  private mode: LinkMode = 'sound';
 
   /** @internal */
   private readonly sockets = new Set<Socket>();
@@ -29,12 +29,12 @@
   /** @internal */
   private readonly server: Server;
 
-  /** @param target - Where connections go: IP number and port. */
+  /** @param target - Address that connections are forwarded to: IP address and port. */
   constructor(private readonly target: string) {
-    this.server = createServer((near) => this.join(near));
+    this.server = createServer((near) => this.accept(near));
   }
 
-  /** Listens on a free port of loopback; gives IP number and port. */
+  /** Listens on a free loopback port and returns its address: IP address and port. */
   async start(): Promise<string> {
     await new Promise<void>((resolve) => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -42,52 +42,52 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Changes what the link does, for open connections too. */
-  set(mood: LinkMood): void {
-    this.mood = mood;
-    if (mood === 'reset') for (const socket of this.sockets) resetSocket(socket);
+  /** Changes the mode of the link, also for open connections. */
+  setMode(mode: LinkMode): void {
+    this.mode = mode;
+    if (mode === 'reset') for (const socket of this.sockets) resetSocket(socket);
   }
 
-  /** Ends it. */
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
   }
 
   /** @internal */
-  private join(near: Socket): void {
-    if (this.mood === 'reset') {
+  private accept(near: Socket): void {
+    if (this.mode === 'reset') {
       resetSocket(near);
       return;
     }
     const [host, port] = this.target.split(':');
     const far = connect({ host, port: Number(port) });
-    this.pass(near, far, 'out');
-    this.pass(far, near, 'back');
+    this.forward(near, far, 'out');
+    this.forward(far, near, 'back');
   }
 
   /** @internal */
-  private pass(from: Socket, to: Socket, way: 'out' | 'back'): void {
+  private forward(from: Socket, to: Socket, way: 'out' | 'back'): void {
     this.sockets.add(from);
-    from.on('data', (data) => this.move(data, to, way));
-    from.on('end', () => this.isOpen(way) && to.end());
-    // The other side is ended the same way, as if there were no proxy between the two.
+    from.on('data', (data) => this.deliver(data, to, way));
+    from.on('end', () => this.canForward(way) && to.end());
+    // Resets and closes are passed on to the other side, as they would be without a proxy.
     from.on('error', () => resetSocket(to));
     from.once('close', () => {
       this.sockets.delete(from);
-      if (this.isOpen(way)) to.destroySoon();
+      if (this.canForward(way)) to.destroySoon();
     });
   }
 
   /** @internal */
-  private move(data: Buffer, to: Socket, way: 'out' | 'back'): void {
-    if (!this.isOpen(way)) return;
-    if (this.mood === 'delayed') setTimeout(() => to.write(data), DELAY_MS);
+  private deliver(data: Buffer, to: Socket, way: 'out' | 'back'): void {
+    if (!this.canForward(way)) return;
+    if (this.mode === 'delayed') setTimeout(() => to.write(data), DELAY_MS);
     else to.write(data);
   }
 
   /** @internal */
-  private isOpen(way: 'out' | 'back'): boolean {
-    return this.mood !== 'silent' && !(this.mood === 'oneWay' && way === 'back');
+  private canForward(way: 'out' | 'back'): boolean {
+    return this.mode !== 'silent' && !(this.mode === 'oneWay' && way === 'back');
   }
 }
--- a/src/soak/PipelinedCaller.ts
+++ b/src/soak/PipelinedCaller.ts
@@ -4,24 +4,27 @@
 import { makeBody, SIGNATURE_HEADER, writeCallerHeaders } from '../platform/standIn/index.js';
 import type { CallerRecord } from './SoakCallers.js';
 
-/** How requests are sent one behind the other. */
+/** Settings of a pipelined connection. */
 export interface PipelineOptions {
   readonly port: number;
   readonly host: string;
   readonly path: string;
-  /** Time that the caller allows, in milliseconds. */
+  /** Timeout that the caller sends with each request, in milliseconds. */
   readonly allowedMs: number;
 }
 
-/** One answer as it came. */
+/** A received answer. */
 interface Answer {
   readonly status: number;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
 }
 
-/** Takes the first whole answer off a text; gateways always tell the length of short bodies. */
-function takeAnswer(text: string): { answer: Answer; rest: string } | undefined {
+/**
+ * Parses the first complete answer of a text; undefined if it is incomplete. Reads bodies by
+ * `Content-Length`, which gateways always send with short bodies.
+ */
+function parseAnswer(text: string): { answer: Answer; rest: string } | undefined {
   const headEnd = text.indexOf('\r\n\r\n');
   if (headEnd < 0) return undefined;
   const [statusLine, ...lines] = text.slice(0, headEnd).split('\r\n');
@@ -42,9 +45,9 @@
   return body === makeBody(id) && headers.get(SIGNATURE_HEADER) === `s.${id}`;
 }
 
-/** Sends requests on one connection before the first of them is answered, and reads the answers. */
+/** Sends pipelined requests on one connection and reads their answers. */
 export class PipelinedCaller {
-  /** Told once the connection has ended. */
+  /** Called once the connection has closed. */
   onEnd: () => void = () => {};
 
   /** @internal */
@@ -53,39 +56,39 @@
   /** @internal */
   private text = '';
 
-  /** Requests without an answer, in their order. @internal */
-  private readonly owed: CallerRecord[];
+  /** Unanswered requests in the order they were sent. @internal */
+  private readonly unanswered: CallerRecord[];
 
   /**
-   * @param records - The requests; what came of them is noted there.
-   * @param options - How they are sent.
+   * @param records - The requests; their results are written to these records.
+   * @param options - Address, path and timeout.
    */
   constructor(
     records: readonly CallerRecord[],
     private readonly options: PipelineOptions,
   ) {
-    this.owed = [...records];
+    this.unanswered = [...records];
     const { port, allowedMs } = options;
     this.socket = connect(port, '127.0.0.1');
     this.socket.setEncoding('latin1');
     this.socket.setTimeout(allowedMs, () => this.socket.destroy());
-    // The end of the connection tells the same.
+    // An error is followed by `close`, which fails the unanswered requests.
     this.socket.on('error', () => {});
-    this.socket.on('data', (data: string) => this.read(data));
+    this.socket.on('data', (data: string) => this.handleData(data));
     this.socket.once('close', () => {
-      this.giveUp(false);
+      this.failUnanswered(false);
       this.onEnd();
     });
-    this.socket.write(records.map(({ id }) => this.writeHead(id)).join(''));
+    this.socket.write(records.map(({ id }) => this.formatRequest(id)).join(''));
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection immediately. */
   destroy(): void {
     this.socket.destroy();
   }
 
   /** @internal */
-  private writeHead(id: string): string {
+  private formatRequest(id: string): string {
     const { host, path, allowedMs } = this.options;
     const headers = Object.entries({ Host: host, ...writeCallerHeaders(id, allowedMs) });
     const lines = headers.map(([name, value]) => `${name}: ${value}\r\n`);
@@ -93,23 +96,23 @@
   }
 
   /** @internal */
-  private read(data: string): void {
+  private handleData(data: string): void {
     this.text += data;
-    for (let next = takeAnswer(this.text); next !== undefined; next = takeAnswer(this.text)) {
+    for (let next = parseAnswer(this.text); next !== undefined; next = parseAnswer(this.text)) {
       const { answer, rest } = next;
       this.text = rest;
-      const record = this.owed.shift();
+      const record = this.unanswered.shift();
       if (record === undefined) break;
       const { status } = answer;
       Object.assign(record, { endedAt: Date.now(), status, isSound: isSound(answer, record.id) });
-      if (answer.headers.get('connection')?.toLowerCase() === 'close') this.giveUp(true);
+      if (answer.headers.get('connection')?.toLowerCase() === 'close') this.failUnanswered(true);
     }
-    if (this.owed.length === 0) this.socket.end();
+    if (this.unanswered.length === 0) this.socket.end();
   }
 
-  /** Notes the requests that got no answer. @internal */
-  private giveUp(isBehindClose: boolean): void {
-    for (const record of this.owed.splice(0)) {
+  /** Records all unanswered requests as failed. @internal */
+  private failUnanswered(isBehindClose: boolean): void {
+    for (const record of this.unanswered.splice(0)) {
       Object.assign(record, { endedAt: Date.now(), status: 0, isSound: false, isBehindClose });
     }
   }
--- a/src/soak/SoakCallers.ts
+++ b/src/soak/SoakCallers.ts
@@ -10,40 +10,40 @@
 import { PipelinedCaller } from './PipelinedCaller.js';
 import type { GatewayPorts } from './SoakGateway.js';
 
-/** What a caller saw of one request. */
+/** A request and its result, as the caller saw them. */
 export interface CallerRecord {
   readonly id: string;
   readonly isIdempotent: boolean;
   readonly sentAt: number;
-  /** Port of the gateway that it was sent to. */
+  /** Port of the gateway that received the request. */
   readonly port: number;
   endedAt?: number;
-  /** 0 if the connection ended without an answer. */
+  /** HTTP status; 0 if the connection closed without an answer. */
   status?: number;
-  /** Whether the answer is whole, signed and its own. */
+  /** Whether the answer is complete, signed and belongs to this request. */
   isSound?: boolean;
-  /** Whether it was sent behind a request whose answer closed the connection. */
+  /** Whether it was pipelined after a request whose answer closed the connection. */
   isBehindClose?: boolean;
 }
 
-/** Time that callers allow, in milliseconds. */
-const ALLOWED_MS = 3_000;
+/** Timeout that callers set for a request, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 3_000;
 
 const OK = 200;
 
 const HOST = 'soak.example';
 
-/** Requests a second of all callers together. */
-const PER_SECOND = 40;
+/** Total request rate of all callers, per second. */
+const REQUESTS_PER_SECOND = 40;
 
-/** Share of callers that send further requests before the first is answered, and how many. */
+/** Share of sends that are pipelined, and the maximum number of requests in each of them. */
 const PIPELINED_SHARE = 0.15;
-const PIPELINED_MOST = 4;
+const MAX_PIPELINED = 4;
 
-/** How long a caller keeps the addresses it was told, in milliseconds. */
-const KEPT_MS = 2_000;
+/** Time for which callers cache gateway addresses, in milliseconds. */
+const ADDRESS_TTL_MS = 2_000;
 
-/** Callers that ask for addresses, keep them, and keep their connections as long as they can. */
+/** Load generator whose callers cache gateway addresses and reuse their connections. */
 export class SoakCallers {
   readonly records: CallerRecord[] = [];
 
@@ -57,7 +57,7 @@
   private ports: readonly number[] = [];
 
   /** @internal */
-  private askedAt = 0;
+  private addressesRequestedAt = 0;
 
   /** @internal */
   private timer: NodeJS.Timeout | undefined;
@@ -71,23 +71,23 @@
     private readonly random: () => number,
   ) {}
 
-  /** Begins to send. */
+  /** Starts sending requests. */
   start(): void {
-    this.timer = setInterval(() => this.tick(), 1_000 / PER_SECOND);
+    this.timer = setInterval(() => this.sendNext(), 1_000 / REQUESTS_PER_SECOND);
   }
 
-  /** Sends no more; what is out goes on. */
+  /** Stops sending new requests; open ones continue. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     for (const caller of this.pipelines) caller.destroy();
     this.agent.destroy();
   }
 
-  /** Sends one request to a gateway and gives what came of it. */
+  /** Sends one request to a gateway and returns its record once it has ended. */
   send(port: number, path: string, isIdempotent: boolean): Promise<CallerRecord> {
     const record = this.createRecord(port, isIdempotent);
     const { id } = record;
@@ -103,9 +103,9 @@
         path,
         method: isIdempotent ? 'GET' : 'POST',
         agent: this.agent,
-        headers: { Host: HOST, ...writeCallerHeaders(id, ALLOWED_MS) },
+        headers: { Host: HOST, ...writeCallerHeaders(id, REQUEST_TIMEOUT_MS) },
       });
-      req.setTimeout(ALLOWED_MS, () => req.destroy());
+      req.setTimeout(REQUEST_TIMEOUT_MS, () => req.destroy());
       req.on('error', () => finish(0, false));
       req.on('response', (res) => {
         const chunks: Buffer[] = [];
@@ -121,10 +121,15 @@
     });
   }
 
-  /** Sends a few requests on one connection before the first of them is answered. */
+  /** Sends several pipelined requests on one connection. */
   sendPipelined(port: number, path: string, count: number): void {
     const records = Array.from({ length: count }, () => this.createRecord(port, true));
-    const caller = new PipelinedCaller(records, { port, host: HOST, path, allowedMs: ALLOWED_MS });
+    const caller = new PipelinedCaller(records, {
+      port,
+      host: HOST,
+      path,
+      allowedMs: REQUEST_TIMEOUT_MS,
+    });
     this.pipelines.add(caller);
     caller.onEnd = () => this.pipelines.delete(caller);
   }
@@ -138,12 +143,12 @@
   }
 
   /** @internal */
-  private tick(): void {
-    if (Date.now() - this.askedAt > KEPT_MS) this.ask();
+  private sendNext(): void {
+    if (Date.now() - this.addressesRequestedAt > ADDRESS_TTL_MS) this.requestAddresses();
     if (this.ports.length === 0) return;
     const port = this.ports[Math.floor(this.random() * this.ports.length)];
     if (this.random() < PIPELINED_SHARE) {
-      this.sendPipelined(port, '/read/x', 2 + Math.floor(this.random() * (PIPELINED_MOST - 1)));
+      this.sendPipelined(port, '/read/x', 2 + Math.floor(this.random() * (MAX_PIPELINED - 1)));
       return;
     }
     const isIdempotent = this.random() < 0.6;
@@ -151,26 +156,26 @@
   }
 
   /** @internal */
-  private ask(): void {
-    this.askedAt = Date.now();
+  private requestAddresses(): void {
+    this.addressesRequestedAt = Date.now();
     const { addresses } = this.gateways[Math.floor(this.random() * this.gateways.length)];
     const path = writeAddressesPath(HOST, 'z-1');
     const req = get({ host: '127.0.0.1', port: addresses, path, timeout: 500 }, (res) => {
       const chunks: Buffer[] = [];
       res.on('data', (chunk: Buffer) => chunks.push(chunk));
-      res.on('end', () => this.keep(res.statusCode, Buffer.concat(chunks).toString()));
+      res.on('end', () => this.storeAddresses(res.statusCode, Buffer.concat(chunks).toString()));
     });
     req.on('timeout', () => req.destroy());
-    // The next one is asked with the next request.
+    // Forces another address request before the next request is sent.
     req.on('error', () => {
-      this.askedAt = 0;
+      this.addressesRequestedAt = 0;
     });
   }
 
   /** @internal */
-  private keep(status: number | undefined, text: string): void {
+  private storeAddresses(status: number | undefined, text: string): void {
     const addresses = status === OK ? readAddresses(text) : undefined;
-    if (addresses === undefined) this.askedAt = 0;
+    if (addresses === undefined) this.addressesRequestedAt = 0;
     else this.ports = addresses.map((address) => Number(address.split(':')[1]));
   }
 }
--- a/src/soak/SoakGateway.ts
+++ b/src/soak/SoakGateway.ts
@@ -3,7 +3,7 @@
 import { createWriteStream, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** Ports of one gateway on loopback. */
+/** Loopback ports of a gateway. */
 export interface GatewayPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -12,88 +12,94 @@
   readonly metrics: number;
 }
 
-/** How a gateway is started. */
+/** Settings that a gateway is started with. */
 export interface SoakGatewayOptions {
   readonly name: string;
   readonly zone: string;
   readonly ports: GatewayPorts;
   readonly storeAddress: string;
-  /** Folder for its settings and log. */
+  /** Directory for its settings and log. */
   readonly dir: string;
 }
 
-/** Time from SIGTERM until a gateway is killed, in milliseconds. */
+/** Time from SIGTERM to SIGKILL, in milliseconds. */
 const GRACE_MS = 6_000;
 
-/** What a version that turns out to be bad may get. */
+/** Requests that a bad version may receive: this share of all requests plus a fixed number. */
 export const TRIAL_SHARE = 0.1;
 export const TRIAL_SLACK = 50;
 
-const MAIN = new URL('../gateway/main.js', import.meta.url).pathname;
+const GATEWAY_MAIN = new URL('../gateway/main.js', import.meta.url).pathname;
 
-/** What ended a process that was asked to stop. */
-export type StopEnd =
+/** How a process that was asked to stop has ended. */
+export type StopResult =
   | 'byItself'
-  /** A fault that killed it meanwhile. */
+  /** An injected fault killed it in the meantime. */
   | 'byFault'
-  /** The end of the grace period, or a signal that nobody here sent. */
+  /** It was killed after the grace period, or by a signal from outside this program. */
   | 'bySignal';
 
-/** One gateway as a process of its own. */
+/** A gateway that runs as a child process. */
 export class SoakGateway {
-  /** Until when what it does may be put down to a fault; Unix milliseconds. */
+  /** Time until which an injected fault may affect the gateway, in Unix milliseconds. */
   disturbedUntil = 0;
 
-  /** Times at which its process was stopped, paused or killed, or has just started; Unix milliseconds. */
+  /** Periods in which its process was stopped, paused, killed or starting, in Unix milliseconds. */
   readonly excused: { readonly from: number; readonly until: number }[] = [];
 
   /** @internal */
   private child: ChildProcess | undefined;
 
   /** @internal */
-  private starts = 0;
+  private startCount = 0;
 
   /**
-   * Processes that a fault has killed. Kept by process: the next one may be started before the end of
-   * a killed one is told, and a stop that waited for that end would be taken for one that took too long.
+   * Processes that a fault has killed. Tracked per process because the next one may start before the
+   * exit event of a killed one; a pending `stop()` would otherwise report an exceeded grace period.
    * @internal
    */
   private readonly killed = new WeakSet<ChildProcess>();
 
-  /** @param options - How it is started. */
+  /** @param options - Settings that it is started with. */
   constructor(readonly options: SoakGatewayOptions) {
     mkdirSync(options.dir, { recursive: true });
     this.writeSettings(options.storeAddress);
   }
 
-  /** Whether its process runs. */
-  get isUp(): boolean {
+  /** Whether its process is running. */
+  get isRunning(): boolean {
     const { child } = this;
     if (child === undefined || this.killed.has(child)) return false;
     return child.exitCode === null && child.signalCode === null;
   }
 
-  /** Starts the process, unless it runs: faults overlap, and each starts what it ended. */
+  /**
+   * Starts the process unless it is running: faults overlap, and each one restarts the process that it
+   * ended.
+   */
   start(): void {
-    if (this.isUp) return;
-    this.starts += 1;
+    if (this.isRunning) return;
+    this.startCount += 1;
     const { dir } = this.options;
     const log = createWriteStream(join(dir, `gateway.log`), { flags: 'a' });
     const env = { PATH: process.env.PATH, MASTICLINK_CONFIG: join(dir, 'gateway.ini') };
-    this.child = spawn(process.execPath, [MAIN], { env, stdio: ['ignore', 'pipe', 'pipe'] });
+    this.child = spawn(process.execPath, [GATEWAY_MAIN], {
+      env,
+      stdio: ['ignore', 'pipe', 'pipe'],
+    });
     this.child.stdout?.pipe(log);
     this.child.stderr?.pipe(log, { end: false });
   }
 
-  /** Sends a signal to the process that was started here, and to no other. */
-  signal(signal: NodeJS.Signals): void {
+  /** Sends a signal to the process that this object started. */
+  sendSignal(signal: NodeJS.Signals): void {
     this.child?.kill(signal);
   }
 
-  /** Stops it as planned and waits for its end. */
-  async stop(): Promise<StopEnd> {
+  /** Stops the process by SIGTERM, or by SIGKILL after the grace period, and waits for its exit. */
+  async stop(): Promise<StopResult> {
     const { child } = this;
-    if (child === undefined || !this.isUp) return 'byItself';
+    if (child === undefined || !this.isRunning) return 'byItself';
     const ended = new Promise<boolean>((resolve) => {
       child.once('exit', (_code, signal) => resolve(signal === null));
     });
@@ -105,14 +111,14 @@
     return this.killed.has(child) ? 'byFault' : 'bySignal';
   }
 
-  /** Ends it at once, as a fault. */
+  /** Kills the process as an injected fault. */
   kill(): void {
     if (this.child === undefined) return;
     this.killed.add(this.child);
     this.child.kill('SIGKILL');
   }
 
-  /** Writes its settings, with another address of the store. */
+  /** Writes its settings file with the given store address. */
   writeSettings(storeAddress: string): void {
     const { name, zone, ports, dir } = this.options;
     const lines = [
@@ -120,7 +126,7 @@
       `vm = ${name}`,
       `zone = ${zone}`,
       'region = here',
-      `first-start = ${this.starts === 0}`,
+      `first-start = ${this.startCount === 0}`,
       '[listen]',
       ...Object.entries(ports).map(([what, port]) => `${what} = 127.0.0.1:${port}`),
       '[store]',
--- a/src/soak/SoakWorld.ts
+++ b/src/soak/SoakWorld.ts
@@ -17,15 +17,15 @@
 
 export const ZONES = ['z-1', 'z-2', 'z-3'] as const;
 
-/** The only service. */
+/** Name of the only service. */
 export const SERVICE = 'soak';
 
-const GATEWAYS = 4;
-const TARGETS = 6;
-const SLOTS = 4;
+const DEFAULT_GATEWAY_COUNT = 4;
+const TARGET_COUNT = 6;
+const SLOTS_PER_TARGET = 4;
 const WORK_MS = 25;
 
-/** A target with the link to it. */
+/** A target and the proxy in front of it. */
 export interface SoakTarget {
   entry: TargetRegistration;
   readonly model: PlatformTarget;
@@ -46,13 +46,13 @@
   };
 }
 
-/** Store, targets and gateways of a soak, with the links between them. */
+/** Store, targets and gateways of a soak, and the fault proxies between them. */
 export class SoakWorld {
   readonly store = new PlatformStore();
 
   readonly gateways: SoakGateway[] = [];
 
-  /** Links from the gateways to the store, in their order. */
+  /** Proxies between gateways and store, in the order of `gateways`. */
   readonly storeLinks: FaultProxy[] = [];
 
   readonly targets: SoakTarget[] = [];
@@ -61,41 +61,41 @@
 
   readonly bans: Ban[] = [];
 
-  /** Limits that targets named, in order. */
+  /** Limits that targets advertised, in order of time. */
   readonly namings: LimitNaming[] = [];
 
-  /** Version that targets are started with. */
+  /** Version of newly started targets, unless another one is given. */
   version = 'v1';
 
-  /** Whether operators are moving to another one. */
+  /** Whether a rollout is in progress. */
   isRollingOut = false;
 
   /** @internal */
   private lastVersion = 1;
 
-  /** Version of the configuration. @internal */
-  private configuration = 1;
+  /** Version of the published configuration. @internal */
+  private configurationVersion = 1;
 
   /** @internal */
   private readonly extraRoutes: string[] = [];
 
   /** @internal */
-  private born = 0;
+  private startedTargets = 0;
 
   /**
-   * @param dir - Folder for settings and logs.
-   * @param gatewayCount - Gateways to run.
+   * @param dir - Directory for settings and logs.
+   * @param gatewayCount - Number of gateways to run.
    */
   constructor(
     private readonly dir: string,
-    private readonly gatewayCount = GATEWAYS,
+    private readonly gatewayCount = DEFAULT_GATEWAY_COUNT,
   ) {}
 
-  /** Starts everything. */
+  /** Starts the store, the targets and the gateways. */
   async start(): Promise<void> {
     await this.store.start();
-    this.configure();
-    for (let i = 0; i < TARGETS; i++) await this.addTarget(ZONES[i % ZONES.length]);
+    this.publishConfiguration();
+    for (let i = 0; i < TARGET_COUNT; i++) await this.addTarget(ZONES[i % ZONES.length]);
     const ports = await findPorts(this.gatewayCount * 5);
     for (let i = 0; i < this.gatewayCount; i++) {
       const [callers, readiness, addresses, peers, metrics] = ports.slice(i * 5, i * 5 + 5);
@@ -104,7 +104,7 @@
     for (const gateway of this.gateways) gateway.start();
   }
 
-  /** Ends everything that was started here. */
+  /** Stops gateways, targets, proxies and store. */
   async stop(): Promise<void> {
     for (const gateway of this.gateways) gateway.kill();
     for (const { model, link } of this.targets) {
@@ -115,32 +115,34 @@
     await this.store.stop();
   }
 
-  /** A stretch of time in which no gateway was disturbed, so that bounds hold for all of them. */
+  /** Whether all gateways run undisturbed, so that time limits apply to all of them. */
   get isCalm(): boolean {
-    return this.gateways.every((gateway) => gateway.isUp && Date.now() > gateway.disturbedUntil);
+    return this.gateways.every(
+      (gateway) => gateway.isRunning && Date.now() > gateway.disturbedUntil,
+    );
   }
 
-  /** Name of a version that no target had. */
-  nextVersion(): string {
+  /** Returns a version name that no target has had. */
+  createVersionName(): string {
     this.lastVersion += 1;
     return `v${this.lastVersion}`;
   }
 
-  /** Puts a configuration with one more route into force; gives the route's path. */
+  /** Publishes a configuration with an additional route and returns a path of that route. */
   addRoute(): string {
-    const name = `extra-${this.configuration}`;
+    const name = `extra-${this.configurationVersion}`;
     this.extraRoutes.push(name);
-    this.configure();
+    this.publishConfiguration();
     return `/${name}/x`;
   }
 
   /** Starts a target under a new id and registers it. */
   async addTarget(zone: string, version = this.version): Promise<SoakTarget> {
-    this.born += 1;
-    const id = `t-${this.born}`;
+    this.startedTargets += 1;
+    const id = `t-${this.startedTargets}`;
     const model = new PlatformTarget({
       id,
-      slots: SLOTS,
+      slots: SLOTS_PER_TARGET,
       workMs: WORK_MS,
       onRun: (requestId) => this.runs.push({ id: requestId, target: id, version, at: Date.now() }),
     });
@@ -152,8 +154,8 @@
       address,
       zone,
       version,
-      bornAt: this.born,
-      slots: SLOTS,
+      bornAt: this.startedTargets,
+      slots: SLOTS_PER_TARGET,
       isDraining: false,
       coldMs: 0,
     };
@@ -164,9 +166,9 @@
   }
 
   /**
-   * Takes a target away, at once or after it has drained; one that is gone already stays so. Faults
-   * overlap and may choose the same target: the second one would take another off the list, whose
-   * servers then keep the process from ending.
+   * Deregisters and stops a target; does nothing if it was removed before. Overlapping faults may
+   * choose the same target: the second removal would drop another target from the list, and its
+   * servers would keep the process from exiting.
    */
   removeTarget(target: SoakTarget): void {
     const index = this.targets.indexOf(target);
@@ -178,10 +180,10 @@
   }
 
   /** @internal */
-  private configure(): void {
-    this.configuration += 1;
+  private publishConfiguration(): void {
+    this.configurationVersion += 1;
     putConfiguration(this.store, {
-      version: this.configuration,
+      version: this.configurationVersion,
       routes: [
         makeRoute('read', true),
         makeRoute('book', false),
--- a/src/soak/checkSoak.ts
+++ b/src/soak/checkSoak.ts
@@ -2,7 +2,7 @@
 import { findWorstWindows } from '../lab/index.js';
 import type { CallerRecord } from './SoakCallers.js';
 
-/** One run of a request at a target. */
+/** One execution of a request by a target. */
 export interface RunRecord {
   readonly id: string;
   readonly target: string;
@@ -11,7 +11,7 @@
   readonly at: number;
 }
 
-/** A time during which a target must get nothing. */
+/** A period in which a target must not receive requests. */
 export interface Ban {
   readonly target: string;
   readonly from: number;
@@ -19,30 +19,30 @@
   readonly reason: string;
 }
 
-/** What was seen from outside the gateways. */
+/** Observations of callers and targets during a soak. */
 export interface SoakObservations {
   readonly callers: readonly CallerRecord[];
   readonly runs: readonly RunRecord[];
   readonly bans: readonly Ban[];
-  /** Limits that targets named, in order. */
+  /** Limits that targets advertised, in order of time. */
   readonly namings?: readonly LimitNaming[];
-  /** When a gateway, by its port, is excused from limits. */
+  /** Periods in which the gateway on a port need not enforce limits. */
   readonly excused?: readonly {
     readonly port: number;
     readonly from: number;
     readonly until: number;
   }[];
-  /** Broken promises that were noticed at once. */
+  /** Violations that faults recorded while they ran. */
   readonly noticed: readonly string[];
-  /** From when on no fault was in force. */
+  /** Time from which no fault was active. */
   readonly calmFrom: number;
 }
 
-/** Statuses that say that a request has not run and never will. */
+/** Statuses which guarantee that the request was not executed and will not be. */
 const REFUSALS: ReadonlySet<number> = new Set([429, 503]);
 
-/** Share of requests that has to be served once no fault is in force. */
-const CALM_SHARE = 0.9;
+/** Minimum share of requests that must be served while no fault is active. */
+const MIN_SERVED_SHARE = 0.9;
 
 function countRuns(runs: readonly RunRecord[]): Map<string, number> {
   const counts = new Map<string, number>();
@@ -50,22 +50,22 @@
   return counts;
 }
 
-function checkCaller(record: CallerRecord, runs: number): string[] {
+function checkRequest(record: CallerRecord, runs: number): string[] {
   const { id, isIdempotent, status = 0, isSound } = record;
   const broken: string[] = [];
-  if (!isIdempotent && runs > 1) broken.push(`${id} may run once and ran ${runs} times`);
-  if (REFUSALS.has(status) && runs > 0) broken.push(`${id} was refused with ${status} and ran`);
+  if (!isIdempotent && runs > 1) broken.push(`${id} must not run twice but ran ${runs} times`);
+  if (REFUSALS.has(status) && runs > 0) broken.push(`${id} was refused with ${status} but ran`);
   if (status === 200 && isSound !== true) {
-    broken.push(`${id} got an answer that is not its own and whole`);
+    broken.push(`${id} got an answer that is incomplete, unsigned or of another request`);
   }
   if (record.isBehindClose === true && runs > 0) {
-    broken.push(`${id} ran behind an answer that closed its connection`);
+    broken.push(`${id} was executed although an earlier answer closed its connection`);
   }
-  if (status === 200 && runs === 0) broken.push(`${id} got an answer and never ran`);
+  if (status === 200 && runs === 0) broken.push(`${id} was answered with 200 but never executed`);
   return broken;
 }
 
-/** Requests that targets got although they had named a limit to the gateways that sent them. */
+/** Returns a message for each target that received more requests than its advertised limit allows. */
 function checkLimits({ callers, runs, namings = [], excused = [] }: SoakObservations): string[] {
   const byId = new Map(callers.map((record) => [record.id, record]));
   const arrivals = runs.flatMap(({ id, target, at }) => {
@@ -82,31 +82,33 @@
     .filter(({ got, allowed }) => got > allowed)
     .map(({ target, got, allowed }) => {
       const most = allowed.toFixed(1);
-      return `${target} named a limit and got ${got} requests in 4 s, allowed are ${most}`;
+      return `${target} advertised a limit and got ${got} requests in 4 s, allowed are ${most}`;
     });
 }
 
 /**
- * Holds what callers and targets saw against the promises.
- * @param seen - What was seen.
- * @returns A sentence for each broken promise; none if all are kept.
+ * Checks the observations of callers and targets against the guarantees of the gateways.
+ * @param seen - The observations.
+ * @returns A message for each violation; empty if there is none.
  */
 export function checkSoak(seen: SoakObservations): string[] {
   const counts = countRuns(seen.runs);
   const broken = [...seen.noticed];
   for (const record of seen.callers) {
-    broken.push(...checkCaller(record, counts.get(record.id) ?? 0));
+    broken.push(...checkRequest(record, counts.get(record.id) ?? 0));
   }
   for (const { target, from, until, reason } of seen.bans) {
     const late = seen.runs.find((run) => run.target === target && run.at > from && run.at < until);
     if (late !== undefined) {
-      broken.push(`${target} got ${late.id} ${late.at - from} ms too late: ${reason}`);
+      broken.push(
+        `${target} received ${late.id} ${late.at - from} ms after it had to be excluded: ${reason}`,
+      );
     }
   }
   broken.push(...checkLimits(seen));
   const calm = seen.callers.filter(({ sentAt }) => sentAt >= seen.calmFrom);
   const served = calm.filter(({ status }) => status === 200).length;
-  if (calm.length > 0 && served < CALM_SHARE * calm.length) {
+  if (calm.length > 0 && served < MIN_SERVED_SHARE * calm.length) {
     broken.push(`only ${served} of ${calm.length} requests were served after the last fault`);
   }
   return broken;
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -1,30 +1,30 @@
 import { putTarget, setZoneOut } from '../platform/standIn/index.js';
 import type { TargetBehaviour } from '../platform/standIn/index.js';
-import type { LinkMood } from './FaultProxy.js';
+import type { LinkMode } from './FaultProxy.js';
 import type { SoakCallers } from './SoakCallers.js';
 import type { SoakGateway } from './SoakGateway.js';
 import type { SoakWorld } from './SoakWorld.js';
 import { ZONES } from './SoakWorld.js';
 
-/** What a fault works with. */
+/** Environment that a fault acts on. */
 export interface FaultContext {
   readonly world: SoakWorld;
   readonly callers: SoakCallers;
   readonly random: () => number;
-  /** Notes a promise that was seen broken. */
+  /** Records a violation of a guarantee. */
   readonly notice: (sentence: string) => void;
 }
 
-/** Does one thing from outside the gateways, and undoes it. Rejects only on a fault of its own. */
+/** Injects one fault from outside the gateways and reverts it. Rejects only on an error of its own. */
 export type Fault = (context: FaultContext) => Promise<void>;
 
-/** After a disturbance a gateway has this long to be up to date again, in milliseconds. */
+/** Time that a gateway has to recover after a fault, in milliseconds. */
 const SETTLE_MS = 3_000;
 
-/** Within this time a configuration, or a target's leaving, is to be in force, in milliseconds. */
+/** Time within which gateways must apply a configuration or a target's draining, in milliseconds. */
 const IN_FORCE_MS = 2_000;
 
-/** The same for a zone that is taken out. */
+/** Time within which gateways must stop sending to a zone that is taken out, in milliseconds. */
 const ZONE_OUT_MS = 5_000;
 
 function wait(ms: number): Promise<void> {
@@ -33,60 +33,60 @@
   });
 }
 
-function pick<T>(items: readonly T[], random: () => number): T {
+function pickRandom<T>(items: readonly T[], random: () => number): T {
   return items[Math.floor(random() * items.length)];
 }
 
-function disturb(gateway: SoakGateway, ms: number): void {
+function markDisturbed(gateway: SoakGateway, ms: number): void {
   gateway.disturbedUntil = Math.max(gateway.disturbedUntil, Date.now() + ms + SETTLE_MS);
 }
 
-/** The same for what befalls its process, which excuses it from limits too. */
-function disturbProcess(gateway: SoakGateway, ms: number): void {
-  disturb(gateway, ms);
+/** Marks a gateway as disturbed by a fault of its process, which also excuses it from limits. */
+function markProcessDisturbed(gateway: SoakGateway, ms: number): void {
+  markDisturbed(gateway, ms);
   gateway.excused.push({ from: Date.now(), until: Date.now() + ms + SETTLE_MS });
 }
 
-function disturbStoreLink(mood: LinkMood): Fault {
+function disturbStoreLink(mode: LinkMode): Fault {
   return async ({ world, random }) => {
     const index = Math.floor(random() * world.gateways.length);
     const ms = 500 + random() * 3_000;
-    disturb(world.gateways[index], ms);
-    world.storeLinks[index].set(mood);
+    markDisturbed(world.gateways[index], ms);
+    world.storeLinks[index].setMode(mode);
     await wait(ms);
-    world.storeLinks[index].set('sound');
+    world.storeLinks[index].setMode('sound');
   };
 }
 
-function disturbAllStoreLinks(mood: LinkMood): Fault {
+function disturbAllStoreLinks(mode: LinkMode): Fault {
   return async ({ world, random }) => {
     const ms = 500 + random() * 3_000;
-    for (const gateway of world.gateways) disturb(gateway, ms);
-    for (const link of world.storeLinks) link.set(mood);
+    for (const gateway of world.gateways) markDisturbed(gateway, ms);
+    for (const link of world.storeLinks) link.setMode(mode);
     await wait(ms);
-    for (const link of world.storeLinks) link.set('sound');
+    for (const link of world.storeLinks) link.setMode('sound');
   };
 }
 
-function changeTarget(mood: TargetBehaviour): Fault {
+function changeTargetBehaviour(behaviour: TargetBehaviour): Fault {
   return async ({ world, random }) => {
-    const { model } = pick(world.targets, random);
-    model.behaviour = mood;
+    const { model } = pickRandom(world.targets, random);
+    model.behaviour = behaviour;
     await wait(500 + random() * 2_000);
     model.behaviour = 'sound';
   };
 }
 
-function disturbTargetLink(mood: LinkMood): Fault {
+function disturbTargetLink(mode: LinkMode): Fault {
   return async ({ world, random }) => {
-    const { link } = pick(world.targets, random);
-    link.set(mood);
+    const { link } = pickRandom(world.targets, random);
+    link.setMode(mode);
     await wait(500 + random() * 2_000);
-    link.set('sound');
+    link.setMode('sound');
   };
 }
 
-/** Faults by name; each may come at any time, beside others and more than once. */
+/** Faults by name. Each may start at any time, overlap with others and run several times at once. */
 export const FAULTS: Readonly<Record<string, Fault>> = {
   storeLinkSilent: disturbStoreLink('silent'),
   storeLinkReset: disturbStoreLink('reset'),
@@ -94,10 +94,10 @@
   storeLinkDelayed: disturbStoreLink('delayed'),
   storeAwaySilent: disturbAllStoreLinks('silent'),
   storeAwayReset: disturbAllStoreLinks('reset'),
-  targetSlow: changeTarget('slow'),
-  targetHangs: changeTarget('hangs'),
-  targetCuts: changeTarget('cuts'),
-  targetSheds: changeTarget('sheds'),
+  targetSlow: changeTargetBehaviour('slow'),
+  targetHangs: changeTargetBehaviour('hangs'),
+  targetCuts: changeTargetBehaviour('cuts'),
+  targetSheds: changeTargetBehaviour('sheds'),
   targetLinkSilent: disturbTargetLink('silent'),
   targetLinkReset: disturbTargetLink('reset'),
   targetLinkDelayed: disturbTargetLink('delayed'),
@@ -107,42 +107,42 @@
   },
 
   async gatewayKilled({ world, random }) {
-    const gateway = pick(world.gateways, random);
+    const gateway = pickRandom(world.gateways, random);
     const downMs = random() * 1_000;
-    disturbProcess(gateway, downMs);
+    markProcessDisturbed(gateway, downMs);
     gateway.kill();
     await wait(downMs);
     gateway.start();
   },
 
   async gatewayPaused({ world, random }) {
-    const gateway = pick(world.gateways, random);
+    const gateway = pickRandom(world.gateways, random);
     const ms = 200 + random() * 2_500;
-    disturbProcess(gateway, ms);
-    gateway.signal('SIGSTOP');
+    markProcessDisturbed(gateway, ms);
+    gateway.sendSignal('SIGSTOP');
     await wait(ms);
-    gateway.signal('SIGCONT');
+    gateway.sendSignal('SIGCONT');
   },
 
   async gatewayReloads({ world, random }) {
-    const gateway = pick(world.gateways, random);
+    const gateway = pickRandom(world.gateways, random);
     gateway.writeSettings(gateway.options.storeAddress);
-    if (random() < 0.5) gateway.signal('SIGHUP');
+    if (random() < 0.5) gateway.sendSignal('SIGHUP');
   },
 
   async gatewayStopped({ world, callers, random, notice }) {
-    const gateway = pick(world.gateways, random);
+    const gateway = pickRandom(world.gateways, random);
     const { callers: port } = gateway.options.ports;
-    const isUndisturbed = gateway.isUp && Date.now() > gateway.disturbedUntil;
+    const isUndisturbed = gateway.isRunning && Date.now() > gateway.disturbedUntil;
     const before = callers.records.filter(
       (each) => each.port === port && each.endedAt === undefined,
     );
-    disturbProcess(gateway, 7_000);
+    markProcessDisturbed(gateway, 7_000);
     const end = await gateway.stop();
     if (isUndisturbed && end === 'bySignal') {
-      notice(`${gateway.options.name} had to be killed after SIGTERM`);
+      notice(`${gateway.options.name} did not exit on SIGTERM and had to be killed`);
     }
-    // What stands behind an answer that closes the connection counts as not read.
+    // Requests pipelined after an answer that closes the connection count as not read.
     const cut = before.filter(({ status, isBehindClose }) => status === 0 && !isBehindClose);
     if (isUndisturbed && end !== 'byFault' && cut.length > 0) {
       notice(`a planned stop cut ${cut.length} requests`);
@@ -154,23 +154,25 @@
     const path = world.addRoute();
     await wait(IN_FORCE_MS + 100);
     const now = Date.now();
-    const sound = world.gateways.filter((each) => each.isUp && now > each.disturbedUntil);
+    const sound = world.gateways.filter((each) => each.isRunning && now > each.disturbedUntil);
     for (const { options } of sound) {
       const { status } = await callers.send(options.ports.callers, path, true);
       if (status === 404) {
-        notice(`${options.name} did not know a configuration ${IN_FORCE_MS} ms after it`);
+        notice(
+          `${options.name} had not applied a configuration ${IN_FORCE_MS} ms after it was published`,
+        );
       }
     }
   },
 
   async targetReplaced({ world, random }) {
-    const target = pick(world.targets, random);
+    const target = pickRandom(world.targets, random);
     await world.addTarget(target.entry.zone);
     world.removeTarget(target);
   },
 
   async targetDrains({ world, random }) {
-    const target = pick(world.targets, random);
+    const target = pickRandom(world.targets, random);
     if (world.targets.length < 4 || target.entry.isDraining) return;
     await world.addTarget(target.entry.zone);
     target.entry = { ...target.entry, isDraining: true };
@@ -184,14 +186,14 @@
         target: target.entry.id,
         from,
         until: Date.now(),
-        reason: 'it was leaving',
+        reason: 'it was draining',
       });
     }
     world.removeTarget(target);
   },
 
   async zoneTakenOut({ world, random }) {
-    const zone = pick(ZONES, random);
+    const zone = pickRandom(ZONES, random);
     setZoneOut(world.store, zone, true);
     await wait(ZONE_OUT_MS);
     const from = Date.now();
--- a/src/soak/findPorts.ts
+++ b/src/soak/findPorts.ts
@@ -1,18 +1,18 @@
 import { createServer } from 'node:net';
 
 /**
- * Ports below those that the system gives out by itself (Linux: from 32,768 on) and above those of
- * well-known services.
+ * Range of candidate ports: below the ephemeral ports of the system (on Linux from 32,768) and above
+ * the ports of well-known services.
  */
 const FIRST_PORT = 12_000;
 const LAST_PORT = 31_999;
 
-/** Processes that look for ports at the same time begin so far apart. */
-const PORTS_OF_ONE_PROCESS = 400;
+/** Distance between the first ports of processes that search at the same time. */
+const PORTS_PER_PROCESS = 400;
 
-const PLACES = Math.floor((LAST_PORT - FIRST_PORT + 1) / PORTS_OF_ONE_PROCESS);
+const PORT_BLOCKS = Math.floor((LAST_PORT - FIRST_PORT + 1) / PORTS_PER_PROCESS);
 
-let nextPort = FIRST_PORT + (process.pid % PLACES) * PORTS_OF_ONE_PROCESS;
+let nextPort = FIRST_PORT + (process.pid % PORT_BLOCKS) * PORTS_PER_PROCESS;
 
 function takePort(): number {
   const port = nextPort;
@@ -20,7 +20,7 @@
   return port;
 }
 
-/** Whether nobody listens at a port of loopback. */
+/** Whether no process listens on a loopback port. */
 function isFree(port: number): Promise<boolean> {
   return new Promise((resolve) => {
     const server = createServer();
@@ -30,11 +30,11 @@
 }
 
 /**
- * Finds free ports for programs that are started, ended and started again.
+ * Finds free loopback ports for programs that are restarted.
  *
- * A port that the system gave out goes to whoever asks next while its program is down. A caller then
- * reaches another program there, and the one that starts again finds its port taken.
- * @param count - How many.
+ * While a program is down, the system may assign its ephemeral port to another program. Callers would
+ * then reach the wrong program, and the restarted one would find its port in use.
+ * @param count - Number of ports.
  * @example
  * const [callers, peers] = await findPorts(2);
  */
--- a/src/soak/limitFault.ts
+++ b/src/soak/limitFault.ts
@@ -1,10 +1,10 @@
 import type { Fault } from './faults.js';
 
-/** Limits that targets name, as they write them; gateways take those for none that are no number. */
-const NAMED = ['0.4', '1.3', '6', '20', '-1', 'abc', '6, 1.3'];
+/** Header values that targets advertise as limits; gateways ignore values that are not valid numbers. */
+const LIMIT_VALUES = ['0.4', '1.3', '6', '20', '-1', 'abc', '6, 1.3'];
 
-/** Requests a second that each of them allows; undefined if it says nothing. */
-const MEANT: Readonly<Record<string, number | undefined>> = {
+/** Allowed requests per second of each valid value; undefined for the others. */
+const RATES_PER_SECOND: Readonly<Record<string, number | undefined>> = {
   0.4: 0.4,
   1.3: 1.3,
   6: 6,
@@ -12,8 +12,8 @@
   '6, 1.3': 1.3,
 };
 
-const LEAST_MS = 6_000;
-const MOST_MS = 12_000;
+const MIN_DURATION_MS = 6_000;
+const MAX_DURATION_MS = 12_000;
 
 function wait(ms: number): Promise<void> {
   return new Promise((resolve) => {
@@ -21,10 +21,10 @@
   });
 }
 
-/** Has one target, or all that there are, name a limit for a while. */
+/** Makes one target, or all of them, advertise a limit for a while. */
 export const nameLimit: Fault = async ({ world, random }) => {
-  const named = NAMED[Math.floor(random() * NAMED.length)];
-  const ms = LEAST_MS + random() * (MOST_MS - LEAST_MS);
+  const named = LIMIT_VALUES[Math.floor(random() * LIMIT_VALUES.length)];
+  const ms = MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS);
   const index = Math.floor(random() * world.targets.length * 2);
   const chosen = index < world.targets.length ? [world.targets[index]] : [...world.targets];
   const set = (limit: string | undefined, perSecond: number | undefined): void => {
@@ -33,7 +33,7 @@
       world.namings.push({ target: entry.id, perSecond, at: Date.now() });
     }
   };
-  set(named, MEANT[named]);
+  set(named, RATES_PER_SECOND[named]);
   await wait(ms);
   set(undefined, undefined);
 };
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -1,14 +1,14 @@
 import { runSoak } from './runSoak.js';
 
-/** Reads a number that follows a flag. */
+/** Reads the number after a flag; throws a `RangeError` if it is not a positive integer. */
 function readNumber(flag: string, fallback: number): number {
   const at = process.argv.indexOf(`--${flag}`);
   const value = at < 0 ? fallback : Number(process.argv[at + 1]);
   if (Number.isInteger(value) && value > 0) return value;
-  throw new RangeError(`--${flag} needs a whole number above 0`);
+  throw new RangeError(`--${flag} needs an integer above 0`);
 }
 
-/** Soaks with a few seeds, one after the other. */
+/** Runs a soak for each seed, one after the other. */
 async function main(): Promise<void> {
   const first = readNumber('seed', 1);
   const seeds = readNumber('seeds', 1);
@@ -27,14 +27,14 @@
         if (isVerbose) process.stdout.write(`  ${(atMs / 1_000).toFixed(2)} s ${name}\n`);
       },
     });
-    const verdict = broken.length === 0 ? 'kept' : `BROKEN, logs in ${dir}`;
+    const verdict = broken.length === 0 ? 'passed' : `FAILED, logs in ${dir}`;
     process.stdout.write(
       `seed ${seed}: ${faults.length} faults, ${served} of ${requests} requests served: ${verdict}\n`,
     );
     for (const sentence of broken.slice(0, 10)) process.stdout.write(`  ${sentence}\n`);
     if (broken.length > 0) failed += 1;
   }
-  process.stdout.write(`${seeds - failed} seeds kept every promise, ${failed} did not\n`);
+  process.stdout.write(`${seeds - failed} seeds passed, ${failed} failed\n`);
   process.exit(failed === 0 ? 0 : 1);
 }
 
--- a/src/soak/resetSocket.ts
+++ b/src/soak/resetSocket.ts
@@ -1,9 +1,9 @@
 import type { Socket } from 'node:net';
 
 /**
- * Resets a connection. One whose sending side has ended is closed instead: while that end is on its
- * way the system refuses the reset, nothing closes the connection any more, and it keeps the process
- * from ending; seen as a test run in which all passes and which does not end.
+ * Resets a connection, or destroys it if its sending side has ended. While that end is still being
+ * sent, the system refuses the reset, so that the connection would never close and keep the process
+ * from exiting: all tests would pass, and the test run would hang.
  * @param socket - The connection.
  */
 export function resetSocket(socket: Socket): void {
--- a/src/soak/rolloutFault.ts
+++ b/src/soak/rolloutFault.ts
@@ -4,16 +4,16 @@
 import type { SoakTarget } from './SoakWorld.js';
 import { SERVICE, ZONES } from './SoakWorld.js';
 
-/** How a version that is rolled out turns out to be. */
-const MOODS: readonly TargetBehaviour[] = ['sound', 'fails', 'slow'];
+/** Behaviours that the targets of a new version may have. */
+const BEHAVIOURS: readonly TargetBehaviour[] = ['sound', 'fails', 'slow'];
 
 const DURATION_MS = 6_000;
-const LOOK_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** New targets drain so long after the version was taken back, in milliseconds. */
+/** Time from a rollback to the removal of the new targets, in milliseconds. */
 const DRAIN_AFTER_MS = 2_000;
 
-/** Requests that a bad version may still get after the store was told, in milliseconds. */
+/** Time for which a version may still receive requests after its rollback, in milliseconds. */
 const IN_FLIGHT_MS = 1_000;
 
 function wait(ms: number): Promise<void> {
@@ -22,60 +22,63 @@
   });
 }
 
-async function startTargets({ world }: FaultContext, version: string, mood: TargetBehaviour) {
+async function startTargets({ world }: FaultContext, version: string, behaviour: TargetBehaviour) {
   const targets: SoakTarget[] = [];
   for (const zone of [...ZONES, ...ZONES]) {
     const target = await world.addTarget(zone, version);
-    target.model.behaviour = mood;
+    target.model.behaviour = behaviour;
     targets.push(target);
   }
   return targets;
 }
 
-/** Waits for the end of the order, or for twice the time that it allows. */
-async function awaitState({ world }: FaultContext): Promise<string | undefined> {
+/** Waits for the end of the rollout, but no longer than 2.2 times its allowed duration. */
+async function waitForEnd({ world }: FaultContext): Promise<string | undefined> {
   const endsAt = Date.now() + 2.2 * DURATION_MS;
   let state = getRolloutState(world.store, SERVICE);
   while ((state === undefined || state === 'running') && Date.now() < endsAt) {
-    await wait(LOOK_MS);
+    await wait(POLL_INTERVAL_MS);
     state = getRolloutState(world.store, SERVICE);
   }
   return state;
 }
 
-async function takeBack(context: FaultContext, targets: readonly SoakTarget[]): Promise<void> {
+async function removeNewTargets(
+  context: FaultContext,
+  targets: readonly SoakTarget[],
+): Promise<void> {
   const { world } = context;
   const from = Date.now() + IN_FLIGHT_MS;
   await wait(DRAIN_AFTER_MS);
   for (const target of targets) {
     if (world.isCalm) {
-      const reason = 'its version was taken back';
+      const reason = 'its version was rolled back';
       world.bans.push({ target: target.entry.id, from, until: Date.now(), reason });
     }
     world.removeTarget(target);
   }
 }
 
-/** Rolls out a version that may be good or bad, as operators do at any moment. */
+/** Rolls out a version that is good or bad at random, while other faults are active. */
 export const orderRollout: Fault = async (context) => {
   const { world, random, notice } = context;
   if (world.isRollingOut) return;
   world.isRollingOut = true;
-  const mood = MOODS[Math.floor(random() * MOODS.length)];
-  const version = world.nextVersion();
+  const behaviour = BEHAVIOURS[Math.floor(random() * BEHAVIOURS.length)];
+  const version = world.createVersionName();
   const old = [...world.targets];
   putRollout(world.store, SERVICE, version, DURATION_MS);
-  const targets = await startTargets(context, version, mood);
-  const state = await awaitState(context);
+  const targets = await startTargets(context, version, behaviour);
+  const state = await waitForEnd(context);
   if (state === 'completed') {
-    if (mood !== 'sound') notice(`${version} was completed although it ${mood}`);
+    if (behaviour !== 'sound') notice(`${version} was completed despite behaviour ${behaviour}`);
     for (const target of old) world.removeTarget(target);
     world.version = version;
   } else {
-    if (mood !== 'sound' && state === 'running') {
-      notice(`${version} was not taken back although it ${mood}`);
+    if (behaviour !== 'sound' && state === 'running') {
+      notice(`${version} was not rolled back despite behaviour ${behaviour}`);
     }
-    await takeBack(context, targets);
+    await removeNewTargets(context, targets);
   }
   world.isRollingOut = false;
 };
--- a/src/soak/runLimitTrial.ts
+++ b/src/soak/runLimitTrial.ts
@@ -8,48 +8,51 @@
 import { SoakCallers } from './SoakCallers.js';
 import { SoakWorld } from './SoakWorld.js';
 
-/** Gateways know each other and their targets after this time, in milliseconds. */
-const SETTLED_MS = 2_500;
+/** Time that gateways need to discover each other and their targets, in milliseconds. */
+const STARTUP_MS = 2_500;
 
-/** Requests are served for so long before limits are named, and after, in milliseconds. */
-const BEFORE_MS = 1_000;
-const AFTER_MS = 1_500;
+/** Time with load before limits are advertised, and time for open requests to end, in milliseconds. */
+const WARM_UP_MS = 1_000;
+const DRAIN_MS = 1_500;
 
-/** Gateways have so long to act by a limit before its use is looked at, in milliseconds. */
-const USE_FROM_MS = 3_000;
+/** Time that gateways have to apply a limit before its utilisation is measured, in milliseconds. */
+const ADJUSTMENT_MS = 3_000;
 
 const SERVED = 200;
 const REFUSED = 503;
 
-/** All gateways count as one: targets behind a relay can't tell them apart. */
+/** All gateways are counted as one VM: targets behind a relay can't distinguish them. */
 const ALL_VMS = 'all';
 
-/** How limits are tried. */
+/** Settings of a limit trial. */
 export interface LimitTrialOptions {
   readonly gateways: number;
-  /** How many of the six targets name a limit. */
+  /** How many of the six targets advertise a limit. */
   readonly limited: number;
-  /** Requests a second that each of them takes. */
+  /** Limit of each of these targets, in requests per second. */
   readonly perSecond: number;
-  /** How long they name it, in milliseconds. */
+  /** How long they advertise it, in milliseconds. */
   readonly forMs: number;
-  /** When the first gateway is killed and started again, in milliseconds after the first naming. */
+  /** When the first gateway is killed and restarted, in milliseconds after the limits are advertised. */
   readonly killAtMs?: number;
 }
 
-/** What came of it. */
+/** Result of a limit trial. */
 export interface LimitTrialResult {
-  /** The worst stretch of each limited target, counted from all gateways, told or not. */
+  /**
+   * Worst time window of each limited target. Counts requests of all gateways, also of those that do
+   * not know the limit.
+   */
   readonly worst: readonly LimitWindow[];
-  /** Runs at limited targets, as a share of what their limits let through. */
+  /** Requests executed by limited targets, as a share of what their limits allow. */
   readonly use: number;
-  /** Requests while limits were named: all, and those that were refused, or had neither answer nor refusal. */
+  /** Requests while limits applied: all, refused ones, and those that were neither served nor refused. */
   readonly requests: number;
   readonly refused: number;
   readonly lost: number;
-  /** Longest that a refused one was held, in milliseconds. */
+  /** Longest time until a refusal, in milliseconds. */
   readonly heldMs: number;
-  /** Folder with the gateways' settings and logs. */
+  /** Directory with the gateways' settings and logs. */
   readonly dir: string;
 }
 
@@ -59,8 +62,8 @@
   });
 }
 
-/** Looks at what targets and callers saw from the first naming on. */
-function judge(
+/** Evaluates the observations of targets and callers since the limits were advertised. */
+function evaluateTrial(
   world: SoakWorld,
   callers: SoakCallers,
   { limited, perSecond, forMs }: LimitTrialOptions,
@@ -77,11 +80,11 @@
     ]),
     told: ids.map((target) => ({ target, vm: ALL_VMS, at: namedAt })),
   });
-  const usedFrom = namedAt + USE_FROM_MS;
+  const usedFrom = namedAt + ADJUSTMENT_MS;
   const used = runs.filter(({ at }) => at >= usedFrom && at < endedAt).length;
   const offered = (limited * perSecond * (endedAt - usedFrom)) / 1_000;
   const records = callers.records.filter(
-    ({ sentAt }) => sentAt >= namedAt + USE_FROM_MS && sentAt < endedAt,
+    ({ sentAt }) => sentAt >= namedAt + ADJUSTMENT_MS && sentAt < endedAt,
   );
   const refused = records.filter(({ status }) => status === REFUSED);
   const served = records.filter(({ status }) => status === SERVED);
@@ -96,8 +99,8 @@
 }
 
 /**
- * Has targets name a limit to gateways that run as processes of their own, on loopback.
- * @param options - The limits, and what happens meanwhile.
+ * Runs gateways as separate processes on loopback while targets advertise a limit to them.
+ * @param options - Limits, and faults during the trial.
  * @example
  * const { worst } = await runLimitTrial({ gateways: 4, limited: 2, perSecond: 1.3, forMs: 9_000 });
  */
@@ -107,16 +110,16 @@
   await world.start();
   const ports = world.gateways.map((gateway) => gateway.options.ports);
   const callers = new SoakCallers(ports, createRandom(1));
-  const nameLimit = (limit: string | undefined): void =>
+  const setLimit = (limit: string | undefined): void =>
     world.targets.slice(0, options.limited).forEach(({ model }) => {
       model.limit = limit;
     });
   try {
-    await wait(SETTLED_MS);
+    await wait(STARTUP_MS);
     callers.start();
-    await wait(BEFORE_MS);
+    await wait(WARM_UP_MS);
     const namedAt = Date.now();
-    nameLimit(String(options.perSecond));
+    setLimit(String(options.perSecond));
     if (options.killAtMs !== undefined) {
       setTimeout(() => {
         const [first] = world.gateways;
@@ -125,10 +128,10 @@
       }, options.killAtMs);
     }
     await wait(options.forMs);
-    nameLimit(undefined);
+    setLimit(undefined);
     callers.stop();
-    await wait(AFTER_MS);
-    return { ...judge(world, callers, options, namedAt), dir };
+    await wait(DRAIN_MS);
+    return { ...evaluateTrial(world, callers, options, namedAt), dir };
   } finally {
     callers.stop();
     callers.close();
--- a/src/soak/runRolloutTrial.ts
+++ b/src/soak/runRolloutTrial.ts
@@ -13,51 +13,51 @@
 const NEW_VERSION = 'v2';
 const NEW_TARGETS = 6;
 
-/** Gateways know each other and their targets after this time, in milliseconds. */
-const SETTLED_MS = 2_500;
+/** Time that gateways need to discover each other and their targets, in milliseconds. */
+const STARTUP_MS = 2_500;
 
-/** Requests go on for so long after the end of the rollout, in milliseconds. */
-const AFTER_MS = 1_500;
+/** Time with load after the end of the rollout, and then for open requests to end, in milliseconds. */
+const DRAIN_MS = 1_500;
 
-const LOOK_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 const SERVED = 200;
 const REFUSED = 503;
 
-/** How a rollout is tried. */
+/** Settings of a rollout trial. */
 export interface RolloutTrialOptions {
   readonly gateways: number;
-  /** How targets of the new version behave. */
-  readonly mood: TargetBehaviour;
-  /** When they begin to behave so, in milliseconds after the order. */
-  readonly moodAfterMs: number;
-  /** Time that the order allows, in milliseconds. */
+  /** Behaviour of the targets of the new version. */
+  readonly behaviour: TargetBehaviour;
+  /** Delay before they show this behaviour, in milliseconds after their start. */
+  readonly behaviourAfterMs: number;
+  /** Allowed duration of the rollout, in milliseconds. */
   readonly durationMs: number;
   /** When the links to the store go silent, in milliseconds after the order, and for how long. */
   readonly storeAway?: { readonly fromMs: number; readonly forMs: number };
-  /** When the first gateways in the fleet's order are killed, in milliseconds after the order. */
+  /** When the first gateway is killed and restarted, in milliseconds after the order. */
   readonly killAtMs?: number;
-  /** Told of each change of the order's state. */
+  /** Called on each change of the rollout's state. */
   readonly onState?: (state: string, atMs: number) => void;
 }
 
-/** What came of a rollout. */
+/** Result of a rollout trial. */
 export interface RolloutTrialResult {
-  /** State that the store has at last, in the platform's words. */
+  /** Final state in the store, as the platform names it. */
   readonly state: string | undefined;
   readonly endedAtMs: number;
-  /** Runs at targets of the new version, and at all, from the order to its limit. */
+  /** Requests executed by the new version, and by all targets, from the order to its deadline. */
   readonly exposed: number;
   readonly runs: number;
-  /** Most runs that a bad version may have had. */
+  /** Maximum number of requests that a bad version may execute. */
   readonly allowed: number;
-  /** Runs at the new version from one second after it was taken back. */
+  /** Requests executed by the new version later than one second after its rollback. */
   readonly afterRollBack: number;
-  /** Requests since the order that were cut, or failed: one that is refused may come back. */
+  /** Requests since the order that were neither served nor refused; refused ones may be retried. */
   readonly lost: number;
   readonly refused: number;
   readonly requests: number;
-  /** Folder with the gateways' settings and logs. */
+  /** Directory with the gateways' settings and logs. */
   readonly dir: string;
 }
 
@@ -67,11 +67,11 @@
   });
 }
 
-/** Brings about what the options ask for beside the rollout. */
-function planFaults(world: SoakWorld, { storeAway, killAtMs }: RolloutTrialOptions): void {
+/** Schedules the faults that the options define. */
+function scheduleFaults(world: SoakWorld, { storeAway, killAtMs }: RolloutTrialOptions): void {
   if (storeAway !== undefined) {
-    const set = (mood: 'silent' | 'sound'): void =>
-      world.storeLinks.forEach((link) => link.set(mood));
+    const set = (mode: 'silent' | 'sound'): void =>
+      world.storeLinks.forEach((link) => link.setMode(mode));
     setTimeout(() => set('silent'), storeAway.fromMs);
     setTimeout(() => set('sound'), storeAway.fromMs + storeAway.forMs);
   }
@@ -79,19 +79,19 @@
   setTimeout(() => {
     const [first] = world.gateways;
     first.kill();
-    setTimeout(() => first.start(), LOOK_MS);
+    setTimeout(() => first.start(), POLL_INTERVAL_MS);
   }, killAtMs);
 }
 
-/** Stops old targets as soon as the order is completed, without notice. */
+/** Stops all targets of the old version without draining them. */
 function stopOldTargets(world: SoakWorld): void {
   for (const target of [...world.targets]) {
     if (target.entry.version !== NEW_VERSION) world.removeTarget(target);
   }
 }
 
-/** Waits for the order's end, or for half as long again as it allows. */
-async function awaitEnd(
+/** Waits for the end of the rollout, but no longer than 1.5 times its allowed duration. */
+async function waitForEnd(
   world: SoakWorld,
   { durationMs, onState }: RolloutTrialOptions,
   orderedAt: number,
@@ -102,16 +102,16 @@
     if (state !== known && state !== undefined) onState?.(state, Date.now() - orderedAt);
     known = state;
     if (state !== undefined && state !== 'running') break;
-    await wait(LOOK_MS);
+    await wait(POLL_INTERVAL_MS);
   }
   return { state: known, endedAtMs: Date.now() - orderedAt };
 }
 
 /**
- * Rolls a version out on gateways that run as processes of their own, on loopback.
- * @param options - The version, and what happens meanwhile.
+ * Rolls out a version on gateways that run as separate processes on loopback.
+ * @param options - Behaviour of the version, and faults during the rollout.
  * @example
- * (await runRolloutTrial({ ...options, mood: 'fails' })).state; // 'rolled_back'
+ * (await runRolloutTrial({ ...options, behaviour: 'fails' })).state; // 'rolled_back'
  */
 export async function runRolloutTrial(options: RolloutTrialOptions): Promise<RolloutTrialResult> {
   const dir = mkdtempSync(join(tmpdir(), 'masticlink-rollout-'));
@@ -120,7 +120,7 @@
   const ports = world.gateways.map((gateway) => gateway.options.ports);
   const callers = new SoakCallers(ports, createRandom(1));
   try {
-    await wait(SETTLED_MS);
+    await wait(STARTUP_MS);
     callers.start();
     await wait(1_000);
     const orderedAt = Date.now();
@@ -128,15 +128,15 @@
     for (let i = 0; i < NEW_TARGETS; i++) {
       const { model } = await world.addTarget(ZONES[i % ZONES.length], NEW_VERSION);
       setTimeout(() => {
-        model.behaviour = options.mood;
-      }, options.moodAfterMs);
+        model.behaviour = options.behaviour;
+      }, options.behaviourAfterMs);
     }
-    planFaults(world, options);
-    const { state, endedAtMs } = await awaitEnd(world, options, orderedAt);
+    scheduleFaults(world, options);
+    const { state, endedAtMs } = await waitForEnd(world, options, orderedAt);
     if (state === 'completed') stopOldTargets(world);
-    await wait(AFTER_MS);
+    await wait(DRAIN_MS);
     callers.stop();
-    await wait(AFTER_MS);
+    await wait(DRAIN_MS);
     const counted = world.runs.filter(
       ({ at }) => at >= orderedAt && at <= orderedAt + options.durationMs,
     );
--- a/src/soak/runSoak.ts
+++ b/src/soak/runSoak.ts
@@ -11,41 +11,41 @@
 import { SoakCallers } from './SoakCallers.js';
 import { SoakWorld } from './SoakWorld.js';
 
-/** How a soak runs. */
+/** Settings of a soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How long faults come, in milliseconds. */
+  /** Time during which faults are injected, in milliseconds. */
   readonly faultsMs: number;
-  /** Whether versions are rolled out beside the faults. Seeds without it bring the same faults as ever. */
+  /** Whether rollouts are among the faults; without them a seed keeps its sequence of faults. */
   readonly hasRollouts?: boolean;
-  /** Whether targets name limits beside the faults. */
+  /** Whether targets that advertise limits are among the faults. */
   readonly hasLimits?: boolean;
-  /** Told of each fault as it begins. */
+  /** Called when a fault starts. */
   readonly onFault?: (name: string, atMs: number) => void;
 }
 
-/** What came of a soak. */
+/** Result of a soak. */
 export interface SoakResult {
   readonly broken: readonly string[];
   readonly requests: number;
   readonly served: number;
   readonly faults: readonly string[];
-  /** Folder with the gateways' settings and logs. */
+  /** Directory with the gateways' settings and logs. */
   readonly dir: string;
 }
 
-/** Gateways know each other and their targets after this time, in milliseconds. */
-const SETTLED_MS = 2_500;
+/** Time that gateways need to discover each other and their targets, in milliseconds. */
+const STARTUP_MS = 2_500;
 
-/** Time between two faults at the most, in milliseconds; they last longer, so that they overlap. */
-const MOST_GAP_MS = 900;
+/** Maximum time between two fault starts, in milliseconds; faults last longer, so that they overlap. */
+const MAX_FAULT_GAP_MS = 900;
 
-/** Time for everything to be well again, and then for what is counted as calm, in milliseconds. */
+/** Time to recover after the last fault, and then length of the fault-free phase, in milliseconds. */
 const RECOVERY_MS = 4_500;
 const CALM_MS = 2_000;
 
-/** Last requests may take so long, in milliseconds. */
-const LAST_MS = 3_200;
+/** Time for open requests to end, in milliseconds. */
+const DRAIN_MS = 3_200;
 
 function wait(ms: number): Promise<void> {
   return new Promise((resolve) => {
@@ -53,8 +53,8 @@
   });
 }
 
-/** Brings faults about one after the other, without waiting for their ends. */
-async function bringFaults(
+/** Starts random faults without waiting for earlier ones to end; returns their names. */
+async function injectFaults(
   context: FaultContext,
   { faultsMs, hasRollouts = false, hasLimits = false, onFault }: SoakOptions,
   startedAt: number,
@@ -75,16 +75,16 @@
     names.push(name);
     onFault?.(name, Date.now() - startedAt);
     pending.push(faults[name](context));
-    await wait(context.random() * MOST_GAP_MS);
+    await wait(context.random() * MAX_FAULT_GAP_MS);
   }
   await Promise.all(pending);
   return names;
 }
 
 /**
- * Runs gateways as processes of their own, disturbs them from outside, and holds what callers and
- * targets saw against the promises.
- * @param options - Seed and length.
+ * Runs gateways as separate processes, injects faults from outside, and checks the observations of
+ * callers and targets against the guarantees of the gateways.
+ * @param options - Seed, duration and kinds of faults.
  * @example
  * const { broken } = await runSoak({ seed: 7, faultsMs: 20_000 });
  */
@@ -97,7 +97,7 @@
   const ports = world.gateways.map((gateway) => gateway.options.ports);
   const callers = new SoakCallers(ports, createRandom(options.seed + 1));
   try {
-    await wait(SETTLED_MS);
+    await wait(STARTUP_MS);
     callers.start();
     const context: FaultContext = {
       world,
@@ -105,12 +105,12 @@
       random,
       notice: (sentence) => noticed.push(sentence),
     };
-    const faults = await bringFaults(context, options, Date.now());
+    const faults = await injectFaults(context, options, Date.now());
     await wait(RECOVERY_MS);
     const calmFrom = Date.now();
     await wait(CALM_MS);
     callers.stop();
-    await wait(LAST_MS);
+    await wait(DRAIN_MS);
     const { runs, bans, namings } = world;
     const excused = world.gateways.flatMap((gateway) =>
       gateway.excused.map((each) => ({ port: gateway.options.ports.callers, ...each })),
--- a/src/tests/soak/SoakGateway.test.ts
+++ b/src/tests/soak/SoakGateway.test.ts
@@ -6,10 +6,10 @@
 
 import { SoakGateway } from '../../soak/SoakGateway.js';
 
-test('a stop of a process that a fault kills and another follows at once took not too long', async (t) => {
-  // A planned stop waits for a process, a fault kills it, and a third starts the next one before the end
-  // of the first is told. The stop took the start for a sign that nobody had killed it, and on a busy
-  // machine the soak blamed the gateway.
+test('a stop reports a fault if the process is killed and restarted meanwhile', async (t) => {
+  // A fault kills a process during its planned stop, and another fault starts the next process before
+  // the exit event of the first. If the new start clears the mark of the kill, the stop counts as one
+  // that exceeded the grace period, and the soak reports a violation of the gateway.
   const ports = { callers: 1, readiness: 1, addresses: 1, peers: 1, metrics: 1 };
   const dir = mkdtempSync(join(tmpdir(), 'masticlink-soak-gateway-'));
   const gateway = new SoakGateway({
--- a/src/tests/soak/limitTrial.test.ts
+++ b/src/tests/soak/limitTrial.test.ts
@@ -2,8 +2,8 @@
 
 import { runLimitTrial } from '../../soak/runLimitTrial.js';
 
-// Gateways that each keep to a limit alone, or do not know it, send several times what it allows.
-test('gateways together send no more to a target than it says it takes', async (t) => {
+// Gateways that ignore a limit, or each apply the whole limit, together exceed it several times.
+test('all gateways together stay within the limit that a target advertises', async (t) => {
   t.timeout(60_000);
   const { worst, lost } = await runLimitTrial({
     gateways: 4,
--- a/src/tests/soak/resetSocket.test.ts
+++ b/src/tests/soak/resetSocket.test.ts
@@ -8,9 +8,9 @@
 
 const HOST = '127.0.0.1';
 
-test('a connection that is reset just after its sending side has ended is closed', async (t) => {
-  // One side of a proxied connection ends, and the link is reset in the same moment. The connection stayed
-  // open for ever; all tests of the soak passed, and their process did not end.
+test('a connection that is reset right after its sending side has ended is closed', async (t) => {
+  // One side of a proxied connection ends just before the link is reset. If the system refuses the reset,
+  // the connection stays open, and the test process does not exit although all tests pass.
   const accepted: Socket[] = [];
   const far = createServer({ allowHalfOpen: true }, (socket) => {
     accepted.push(socket.on('error', () => {}).resume());
@@ -23,7 +23,7 @@
   await waitUntil(() => accepted.length === 1);
   near.end();
   resetSocket(near);
-  // What is written to a connection that is closed at the other end is answered by a reset.
+  // Writing to a connection that the other end has closed causes a reset.
   const writing = setInterval(() => accepted[0].write('more'), 10);
   await waitUntil(() => accepted[0].destroyed);
   clearInterval(writing);
--- a/src/tests/soak/soak.test.ts
+++ b/src/tests/soak/soak.test.ts
@@ -16,10 +16,10 @@
   calmFrom: 100,
 };
 
-/** Times at which a target that named a limit got requests. */
+/** Times at which a target with an advertised limit receives requests. */
 const LIMITED = Array.from({ length: 20 }, (_, i) => 10 + i * 300);
 
-test('what was seen is held against each promise', (t) => {
+test('observations are checked against each guarantee', (t) => {
   t.deepEqual(checkSoak(SOUND), []);
   t.snapshot({
     twice: checkSoak({ ...SOUND, runs: [...SOUND.runs, { id: 'a', target: 't-2', at: 14 }] }),
@@ -51,27 +51,27 @@
   });
 });
 
-test('a short soak of real processes keeps every promise', async (t) => {
-  // Links to the store and to targets are silenced, reset and delayed, processes are killed, paused
-  // and stopped, and all of that overlaps. A caller would notice a booking made twice, another's
-  // answer, half an answer, or a refusal of what was done after all.
+test('a short soak of real processes finds no violation', async (t) => {
+  // Links to the store and to targets are silenced, reset and delayed, and processes are killed, paused
+  // and stopped, all overlapping. Violations are duplicate executions, wrong or incomplete answers, and
+  // refusals of requests that were executed.
   t.timeout(60_000);
   const { broken, requests, served } = await runSoak({ seed: 104, faultsMs: 5_000 });
   t.deepEqual(broken, []);
   t.true(served > requests / 2);
 });
 
-test('a stop that a kill overlaps is no stop that took too long', async (t) => {
-  // Seed 308: 46 ms after a planned stop began the same process was killed by another fault. The check
-  // took the kill for the end of the grace period, so that the soak blamed the gateway.
+test('a stop during which a fault kills the process is no violation', async (t) => {
+  // Seed 308: another fault kills a process 46 ms after its planned stop began. If the kill counts as
+  // the end of the grace period, the soak reports a violation of the gateway.
   t.timeout(60_000);
   const { broken } = await runSoak({ seed: 308, faultsMs: 1_500 });
   t.deepEqual(broken, []);
 });
 
-test('a target that two faults take away is taken away once', async (t) => {
-  // One fault replaces a target while another one lets it drain. The second removal took some other
-  // target off the list, so that nothing ended its servers: all tests passed, and the run did not end.
+test('a target that two faults remove is removed once', async (t) => {
+  // One fault replaces a target while another one drains it. If the second removal drops another target
+  // from the list, nothing closes that one's servers, and the test process does not exit.
   const world = new SoakWorld('not-used');
   await world.store.start();
   const first = await world.addTarget('z-1');
@@ -82,15 +82,15 @@
   await world.stop();
 });
 
-test('a version that is rolled out beside other faults is judged rightly', async (t) => {
-  // A bad version that is completed takes the old targets away from all callers.
+test('a rollout during other faults ends in the right state', async (t) => {
+  // Completing a bad version would leave callers without any good target.
   t.timeout(90_000);
   const { broken } = await runSoak({ seed: 3001, faultsMs: 3_000, hasRollouts: true });
   t.deepEqual(broken, []);
 });
 
-// A limit is shared out by gateways that are killed and paused meanwhile.
-test('targets get no more than limits allow that they name beside other faults', async (t) => {
+// Gateways divide a limit among themselves while some of them are killed or paused.
+test('targets receive no more than their advertised limits allow during other faults', async (t) => {
   t.timeout(90_000);
   const { broken } = await runSoak({ seed: 4001, faultsMs: 6_000, hasLimits: true });
   t.deepEqual(broken, []);
