--- a/src/lab/LabCallers.ts
+++ b/src/lab/LabCallers.ts
@@ -2,12 +2,12 @@
 import type { Clock } from '../timing/index.js';
 import type { LabPlan, RoutePlan } from './LabPlan.js';
 import type { LabRecord } from './LabRecord.js';
-import type { LabVm, TryEnd } from './LabVm.js';
+import type { LabVm, TryResult } from './LabVm.js';
 
-/** Callers wait no longer than this part of the time that is left to them. */
-const MOST_WAIT_SHARE = 1 / 3;
+/** Upper bound of a caller's retry delay, as a share of its remaining time. */
+const MAX_WAIT_SHARE = 1 / 3;
 
-/** Where callers send a request, and what they get back. */
+/** Dependencies of {@link LabCallers}. */
 export interface LabCallersParts {
   readonly plan: LabPlan;
   readonly clock: Clock;
@@ -15,29 +15,29 @@
   readonly vms: readonly LabVm[];
 }
 
-/** One request as it is drawn, the same whatever the decisions are. */
+/** One generated request; it doesn't depend on any balancing decision. */
 export interface LabArrival {
   readonly at: number;
   readonly route: RoutePlan;
   readonly workMs: number;
 }
 
-function getFactor({ surges }: LabPlan, at: number): number {
+function getSurgeFactor({ surges }: LabPlan, at: number): number {
   const surge = surges.find(({ fromMs, untilMs }) => at >= fromMs && at < untilMs);
   return surge?.factor ?? 1;
 }
 
 /**
- * Draws a plan's arrivals: a Poisson stream for each route, with lognormal work.
- * @param plan - What is drawn.
- * @param random - Uniform in [0, 1).
+ * Generates the arrivals of a plan: a Poisson process for each route, with lognormal work.
+ * @param plan - Supplies the routes, their rates and the surges.
+ * @param random - Returns a uniform number in [0, 1).
  */
 export function drawArrivals(plan: LabPlan, random: () => number): LabArrival[] {
   const arrivals: LabArrival[] = [];
   for (const route of plan.routes) {
     let at = 0;
     while (at < plan.untilMs) {
-      const ratePerMs = (route.perSecond * getFactor(plan, at)) / 1_000;
+      const ratePerMs = (route.perSecond * getSurgeFactor(plan, at)) / 1_000;
       at -= Math.log(1 - random()) / ratePerMs;
       arrivals.push({ at, route, workMs: drawLognormal(random, route.workMs, route.workSigma) });
     }
@@ -45,35 +45,35 @@
   return arrivals.sort((a, b) => a.at - b.at);
 }
 
-/** Callers that come back as they are told, and give up when their time is over. */
+/** Simulated callers: they retry after the advertised delay and give up when their time is over. */
 export class LabCallers {
   readonly records: LabRecord[] = [];
 
-  /** @param parts - Where they send requests. */
+  /** @param parts - Plan, clock, random source and VMs. */
   constructor(private readonly parts: LabCallersParts) {}
 
-  /** Plans all arrivals. */
+  /** Schedules all arrivals. */
   start(arrivals: readonly LabArrival[]): void {
     for (const arrival of arrivals) {
-      this.parts.clock.after(arrival.at - this.parts.clock.now(), () => this.begin(arrival));
+      this.parts.clock.after(arrival.at - this.parts.clock.now(), () => this.startRequest(arrival));
     }
   }
 
   /** @internal */
-  private begin({ at, route, workMs }: LabArrival): void {
+  private startRequest({ at, route, workMs }: LabArrival): void {
     const record: LabRecord = { route, askedAt: at, refusals: 0, runs: 0, heldMs: 0 };
     this.records.push(record);
-    this.ask(record, workMs, route.retries);
+    this.sendTry(record, workMs, route.retries);
   }
 
   /** @internal */
-  private ask(record: LabRecord, workMs: number, retriesLeft: number): void {
+  private sendTry(record: LabRecord, workMs: number, retriesLeft: number): void {
     const { clock, random, vms } = this.parts;
     const { route, askedAt } = record;
     const startedAt = clock.now();
     const leftMs = askedAt + route.allowedMs - startedAt;
     if (leftMs <= 0) return;
-    const onEnd = (end: TryEnd): void => {
+    const onEnd = (end: TryResult): void => {
       const now = clock.now();
       if (end.kind === 'answered') {
         if (now <= askedAt + route.allowedMs) record.answeredAt = now;
@@ -84,15 +84,15 @@
         record.heldMs += now - startedAt;
       }
       if (retriesLeft === 0 || (end.kind === 'failed' && !route.isIdempotent)) return;
-      const mostMs = (askedAt + route.allowedMs - now) * MOST_WAIT_SHARE;
-      const waitMs = end.kind === 'refused' ? Math.min(end.retryAfterMs, mostMs) : 0;
-      clock.after(waitMs, () => this.ask(record, workMs, retriesLeft - 1));
+      const maxWaitMs = (askedAt + route.allowedMs - now) * MAX_WAIT_SHARE;
+      const waitMs = end.kind === 'refused' ? Math.min(end.retryAfterMs, maxWaitMs) : 0;
+      clock.after(waitMs, () => this.sendTry(record, workMs, retriesLeft - 1));
     };
     const onRun = (): void => {
       record.runs += 1;
     };
-    const up = vms.filter(({ isDown }) => !isDown);
-    const vm = up[Math.floor(random() * up.length)];
-    vm.ask({ path: `/${route.name}/x`, workMs, allowedMs: leftMs, onRun, onEnd });
+    const liveVms = vms.filter(({ isDown }) => !isDown);
+    const vm = liveVms[Math.floor(random() * liveVms.length)];
+    vm.startTry({ path: `/${route.name}/x`, workMs, allowedMs: leftMs, onRun, onEnd });
   }
 }
--- a/src/lab/LabPlan.ts
+++ b/src/lab/LabPlan.ts
@@ -1,96 +1,100 @@
-/** How the targets of one service are. All defaults are a guess to start from, not a measurement. */
+/** Simulated targets of one service. The defaults are assumptions, not taken from a real service. */
 export interface TargetsPlan {
   readonly service: string;
   readonly count: number;
   readonly slots: number;
-  /** Requests that wait at a target before it rejects more. */
+  /** Requests that a target queues before it rejects further ones. */
   readonly queue: number;
-  /** Part of the slots beyond which work that starts takes longer, and how much longer. */
+  /** Share of busy slots above which new work is slowed down, and the slowdown factor. */
   readonly kneeShare: number;
   readonly kneeSlowdown: number;
-  /** Part of the time that a target is slow, how much slower, and how long a spell lasts, in ms. */
+  /** Share of slow spells, the slowdown factor during one, and the length of a spell in ms. */
   readonly spellShare: number;
   readonly spellSlowdown: number;
   readonly spellMs: number;
 }
 
-/** Requests of one kind. */
+/** A route and the requests that callers send to it. */
 export interface RoutePlan {
   readonly name: string;
   readonly service: string;
   readonly perSecond: number;
   /** Mean work on an idle target, in milliseconds. */
   readonly workMs: number;
-  /** Standard deviation of its logarithm. */
+  /** Standard deviation of the logarithm of the work. */
   readonly workSigma: number;
   readonly objectiveMs: number;
-  /** Time that callers allow, in milliseconds. */
+  /** Time after which callers give up, in milliseconds. */
   readonly allowedMs: number;
   readonly timeoutMs: number;
   readonly isIdempotent: boolean;
-  /** What an answer is worth in time, and late. */
+  /** Value of an answer within the objective, and the share of it that a late answer keeps. */
   readonly worth: number;
   readonly lateWorth: number;
-  /** How often a caller comes back. */
+  /** Maximum number of retries by a caller. */
   readonly retries: number;
 }
 
-/** A stretch of time in which more callers come. */
+/** A period with a higher request rate. */
 export interface Surge {
   readonly fromMs: number;
   readonly untilMs: number;
-  /** How many times as many. */
+  /** Multiplier of the request rate. */
   readonly factor: number;
 }
 
-/** A stretch of time in which targets reject a part of what they get, unrun. */
-export interface Rejecting {
+/** A period in which targets reject a share of their requests without running them. */
+export interface RejectionPeriod {
   readonly service: string;
   readonly fromMs: number;
   readonly untilMs: number;
   readonly share: number;
 }
 
-/** A stretch of time in which the first targets of a service name a limit. */
-export interface Limiting {
+/** A period in which the first targets of a service advertise a rate limit. */
+export interface LimitPeriod {
   readonly service: string;
-  /** How many of its targets do. */
+  /** Number of targets that advertise the limit. */
   readonly count: number;
   readonly fromMs: number;
   readonly untilMs: number;
-  /** Requests a second that each takes from all VMs together. */
+  /** Requests per second that each of them accepts from all VMs together. */
   readonly perSecond: number;
-  /** Part of their answers that name it. */
+  /** Share of their answers that carry the limit; all if left out. */
   readonly share?: number;
 }
 
-/** A stretch of time in which a VM is down; it comes back knowing nothing. */
-export interface VmDown {
-  /** Its number, from 0. */
+/** A period in which a VM is down; it restarts with empty state. */
+export interface VmOutage {
+  /** Zero-based index of the VM. */
   readonly vm: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** A deployment, its load and its troubles. */
+/** A simulated deployment with its load and its faults. */
 export interface LabPlan {
   readonly vms: number;
   readonly targets: readonly TargetsPlan[];
   readonly routes: readonly RoutePlan[];
   readonly surges: readonly Surge[];
-  readonly rejecting: readonly Rejecting[];
-  readonly limiting: readonly Limiting[];
-  readonly down: readonly VmDown[];
+  readonly rejecting: readonly RejectionPeriod[];
+  readonly limiting: readonly LimitPeriod[];
+  readonly down: readonly VmOutage[];
   readonly untilMs: number;
-  /** Time from a VM to a target, one way, in milliseconds. */
-  readonly wayMs: number;
-  /** Probes a second that one target may get from all VMs together. */
+  /** One-way network delay between VMs and from a VM to a target, in milliseconds. */
+  readonly oneWayDelayMs: number;
+  /** Maximum probes per second to one target from all VMs together. */
   readonly probesPerSecond: number;
-  /** Whether VMs are told beforehand how their targets slow down; else they learn it. */
-  readonly isTold: boolean;
+  /** Whether VMs start with the targets' slowdown curves; otherwise they learn them. */
+  readonly isSlowdownPreset: boolean;
 }
 
-/** Targets that slow down beyond 0.8 of their slots, and by spells of 300 ms, a quarter of the time. */
+/**
+ * Makes targets that slow down above 80 % busy slots, and in a quarter of their 300 ms spells.
+ * @param service - Name of the service.
+ * @param changes - Overrides of the defaults.
+ */
 export function makeTargets(service: string, changes: Partial<TargetsPlan> = {}): TargetsPlan {
   return {
     service,
@@ -106,7 +110,11 @@
   };
 }
 
-/** Look-ups that are to be answered within 2.5 times their work. */
+/**
+ * Makes a route of look-ups with an objective of 2.5 times the mean work.
+ * @param service - Name of the service, also used as the name of the route.
+ * @param changes - Overrides of the defaults.
+ */
 export function makeRoute(service: string, changes: Partial<RoutePlan> = {}): RoutePlan {
   return {
     name: service,
@@ -126,8 +134,8 @@
 }
 
 /**
- * A deployment of 17 VMs with one service, and a surge that its targets just can't bear.
- * @param changes - What is to be otherwise.
+ * Makes a deployment of 17 VMs with one service and a surge slightly above the targets' capacity.
+ * @param changes - Overrides of the defaults.
  * @example
  * const plan = makePlan({ surges: [] });
  */
@@ -141,9 +149,9 @@
     limiting: [],
     down: [],
     untilMs: 16_000,
-    wayMs: 0.7,
+    oneWayDelayMs: 0.7,
     probesPerSecond: 60,
-    isTold: false,
+    isSlowdownPreset: false,
     ...changes,
   };
 }
--- a/src/lab/LabRecord.ts
+++ b/src/lab/LabRecord.ts
@@ -1,39 +1,39 @@
 import type { RoutePlan } from './LabPlan.js';
 
-/** What became of one request of a caller, over all its tries. */
+/** Outcome of one caller request over all its tries. */
 export interface LabRecord {
   readonly route: RoutePlan;
-  /** When the caller asked first; virtual milliseconds. */
+  /** Time of the first try, in virtual milliseconds. */
   readonly askedAt: number;
-  /** When it got its answer; undefined if it got none. */
+  /** Time of the answer, in virtual milliseconds; undefined if there was none. */
   answeredAt?: number;
-  /** Tries that were refused. */
+  /** Number of refused tries. */
   refusals: number;
-  /** How often a target ran it. */
+  /** Number of times that a target started to run it. */
   runs: number;
-  /** Time that its refused tries were held for, in milliseconds. */
+  /** Total time that refused tries waited for their refusal, in milliseconds. */
   heldMs: number;
 }
 
-/** What callers got. */
+/** Summary of the outcomes of all requests of a run. */
 export interface LabScore {
   readonly asked: number;
-  /** Share of the worth that was earned. */
+  /** Earned value as a share of the value of all requests. */
   readonly payoff: number;
-  /** The same in the two worst stretches of two seconds. */
+  /** Mean payoff of the two worst windows of two seconds. */
   readonly worstPayoff: number;
   readonly inTime: number;
   readonly late: number;
   readonly unserved: number;
-  /** Refused tries for each request. */
+  /** Refused tries per request. */
   readonly refusals: number;
-  /** Mean time that a refused try was held, in milliseconds. */
+  /** Mean time that a refused try waited for its refusal, in milliseconds. */
   readonly heldMs: number;
 }
 
-/** Payoff is also looked at in stretches of this length, in milliseconds. */
-const STRETCH_MS = 2_000;
-const WORST_STRETCHES = 2;
+/** Length of the windows for the worst payoff, in milliseconds. */
+const WINDOW_MS = 2_000;
+const WORST_WINDOWS = 2;
 
 function getPayoff({ route, askedAt, answeredAt }: LabRecord): number {
   if (answeredAt === undefined) return 0;
@@ -44,21 +44,21 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-function getShare(records: readonly LabRecord[]): number {
+function getPayoffShare(records: readonly LabRecord[]): number {
   return sum(records.map(getPayoff)) / Math.max(1, sum(records.map(({ route }) => route.worth)));
 }
 
 /**
- * Adds up what callers got.
- * @param records - Their requests.
+ * Computes the score of a run.
+ * @param records - All requests of the run.
  */
 export function scoreLab(records: readonly LabRecord[]): LabScore {
-  const stretches = new Map<number, LabRecord[]>();
+  const windows = new Map<number, LabRecord[]>();
   for (const record of records) {
-    const index = Math.floor(record.askedAt / STRETCH_MS);
-    stretches.set(index, [...(stretches.get(index) ?? []), record]);
+    const index = Math.floor(record.askedAt / WINDOW_MS);
+    windows.set(index, [...(windows.get(index) ?? []), record]);
   }
-  const shares = [...stretches.values()].map(getShare).sort((a, b) => a - b);
+  const shares = [...windows.values()].map(getPayoffShare).sort((a, b) => a - b);
   const served = records.filter(({ answeredAt }) => answeredAt !== undefined);
   const inTime = served.filter(
     ({ route, askedAt, answeredAt = Infinity }) => answeredAt - askedAt <= route.objectiveMs,
@@ -66,8 +66,8 @@
   const refusals = sum(records.map((record) => record.refusals));
   return {
     asked: records.length,
-    payoff: getShare(records),
-    worstPayoff: sum(shares.slice(0, WORST_STRETCHES)) / WORST_STRETCHES,
+    payoff: getPayoffShare(records),
+    worstPayoff: sum(shares.slice(0, WORST_WINDOWS)) / WORST_WINDOWS,
     inTime: inTime.length / records.length,
     late: (served.length - inTime.length) / records.length,
     unserved: (records.length - served.length) / records.length,
@@ -76,15 +76,16 @@
   };
 }
 
-/** How much the worst stretches, the whole run and the share that is served count. */
+/** Weights of the worst windows, the whole run and the share of served requests. */
 const WORST_WEIGHT = 0.4;
 const WHOLE_WEIGHT = 0.4;
 const SERVED_WEIGHT = 0.2;
 
 /**
- * One figure for what callers got: mostly the worst seconds and the whole, and who was served at all.
- * @param score - What callers got.
+ * Combines a score into one number: the payoff of the worst windows, the overall payoff and, with
+ * less weight, the share of served requests.
+ * @param score - Score of the run.
  */
-export function getWorth({ worstPayoff, payoff, unserved }: LabScore): number {
+export function getOverallScore({ worstPayoff, payoff, unserved }: LabScore): number {
   return WORST_WEIGHT * worstPayoff + WHOLE_WEIGHT * payoff + SERVED_WEIGHT * (1 - unserved);
 }
--- a/src/lab/LabTarget.ts
+++ b/src/lab/LabTarget.ts
@@ -4,10 +4,10 @@
 
 /** One request at a target. */
 export interface LabWork {
-  /** Work that it is on an idle target, in milliseconds. */
+  /** Time that the request takes on an idle target, in milliseconds. */
   readonly workMs: number;
   readonly onRun: () => void;
-  /** Told once: how it ended, and the load at that moment. */
+  /** Called at most once, with the outcome, the load at that moment and the advertised limit. */
   readonly onEnd: (
     end: 'answered' | 'rejected',
     reading: LoadReading,
@@ -15,64 +15,64 @@
   ) => void;
 }
 
-/** A target in virtual time: slots, a queue, work that slows down, spells in which all is slow. */
+/** A simulated target in virtual time, with slots, a queue, slowdown under load and slow spells. */
 export class LabTarget {
-  /** Requests that run. */
+  /** Number of running requests. */
   running = 0;
 
-  /** Work done so far as requests and as slot time, in milliseconds. */
+  /** Total slot time used by ended requests, in milliseconds. */
   busyMs = 0;
 
-  /** Part of requests that it rejects now. */
+  /** Share of requests that are currently rejected regardless of load. */
   rejectShare = 0;
 
-  /** Requests a second that it says it takes; undefined if it names none. */
+  /** Advertised limit in requests per second; undefined if there is none. */
   limitPerSecond: number | undefined;
 
-  /** Part of its answers that name the limit. */
+  /** Share of answers that carry the limit. */
   limitShare = 1;
 
   /** @internal */
   private readonly waiting: LabWork[] = [];
 
   /** @internal */
-  private readonly ends = new Map<LabWork, () => void>();
+  private readonly cancelFunctions = new Map<LabWork, () => void>();
 
   /** @internal */
-  private spellUntil: number;
+  private spellEndsAt: number;
 
   /** @internal */
   private isSlow = false;
 
   /**
-   * @param plan - How it is.
-   * @param clock - Time to go by.
-   * @param random - Uniform in [0, 1).
+   * @param plan - Slots, queue and slowdown of the target.
+   * @param clock - Virtual clock.
+   * @param random - Returns a uniform number in [0, 1).
    */
   constructor(
     readonly plan: TargetsPlan,
     private readonly clock: Clock,
     private readonly random: () => number,
   ) {
-    this.spellUntil = random() * plan.spellMs;
+    this.spellEndsAt = random() * plan.spellMs;
   }
 
-  /** How long work takes on its VM now; 1 is as usual. */
+  /** Slowdown factor of the current spell; 1 outside slow spells. */
   get slowdown(): number {
-    while (this.clock.now() >= this.spellUntil) {
+    while (this.clock.now() >= this.spellEndsAt) {
       this.isSlow = this.random() < this.plan.spellShare;
-      this.spellUntil += this.plan.spellMs;
+      this.spellEndsAt += this.plan.spellMs;
     }
     return this.isSlow ? this.plan.spellSlowdown : 1;
   }
 
-  /** The limit that its next answer names. @internal */
+  /** Limit that the next answer carries, if any. @internal */
   private get limit(): AdvertisedLimit {
     const isNamed = this.limitShare === 1 || this.random() < this.limitShare;
     return isNamed ? this.limitPerSecond : undefined;
   }
 
-  /** What it says of its load. */
+  /** Load report at the current time. */
   get reading(): LoadReading {
     return {
       at: this.clock.now(),
@@ -84,14 +84,14 @@
     };
   }
 
-  /** How many times as long work takes that starts now. */
-  get factor(): number {
+  /** Slowdown factor of work that starts now, from both load and spell. */
+  get serviceTimeFactor(): number {
     const { slots, kneeShare, kneeSlowdown } = this.plan;
     return ((this.running + 1) / slots > kneeShare ? kneeSlowdown : 1) * this.slowdown;
   }
 
-  /** Takes a request. */
-  take(work: LabWork): void {
+  /** Runs, queues or rejects a request. */
+  acceptRequest(work: LabWork): void {
     const isFull = this.running >= this.plan.slots && this.waiting.length >= this.plan.queue;
     if (isFull || this.random() < this.rejectShare) {
       work.onEnd('rejected', this.reading, this.limit);
@@ -99,16 +99,16 @@
     else this.waiting.push(work);
   }
 
-  /** The request's sender wants no answer any more. */
-  withdraw(work: LabWork): void {
+  /** Drops a queued request or stops a running one; no answer is sent. */
+  cancelWork(work: LabWork): void {
     const index = this.waiting.indexOf(work);
     if (index >= 0) this.waiting.splice(index, 1);
-    this.ends.get(work)?.();
+    this.cancelFunctions.get(work)?.();
   }
 
   /** @internal */
   private run(work: LabWork): void {
-    const tookMs = work.workMs * this.factor;
+    const tookMs = work.workMs * this.serviceTimeFactor;
     const startedAt = this.clock.now();
     this.running += 1;
     work.onRun();
@@ -118,7 +118,7 @@
       isOver = true;
       this.running -= 1;
       this.busyMs += this.clock.now() - startedAt;
-      this.ends.delete(work);
+      this.cancelFunctions.delete(work);
       const next = this.waiting.shift();
       if (next !== undefined) this.run(next);
     };
@@ -126,7 +126,7 @@
       end();
       work.onEnd('answered', this.reading, this.limit);
     });
-    this.ends.set(work, () => {
+    this.cancelFunctions.set(work, () => {
       cancel();
       end();
     });
--- a/src/lab/LabVm.ts
+++ b/src/lab/LabVm.ts
@@ -14,46 +14,46 @@
 import type { LimitArrival } from './limitWindows.js';
 import type { LabTarget, LabWork } from './LabTarget.js';
 
-/** How a try of a caller ended. */
-export type TryEnd =
+/** Result of a caller's try. */
+export type TryResult =
   | { readonly kind: 'answered' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number }
   | { readonly kind: 'failed' };
 
-/** One try of a caller at one VM. */
+/** One try of a caller request, sent to one VM. */
 export interface LabTry {
   readonly path: string;
   readonly workMs: number;
   readonly allowedMs: number;
   readonly onRun: () => void;
-  readonly onEnd: (end: TryEnd) => void;
+  readonly onEnd: (end: TryResult) => void;
 }
 
-/** What a VM works with. */
+/** Dependencies of {@link LabVm}. */
 export interface LabVmParts {
   readonly name: string;
   readonly plan: LabPlan;
   readonly clock: Clock;
   readonly random: () => number;
   readonly targets: ReadonlyMap<string, LabTarget>;
-  /** Told of each request that reaches a target. */
+  /** Called for each request that reaches a target. */
   readonly onArrival: (arrival: LimitArrival) => void;
-  /** Told of each answer with a limit that is passed on to a caller. */
-  readonly onTold: (told: LimitArrival) => void;
+  /** Called for each answer with a limit that arrives for a pending attempt, as it is forwarded. */
+  readonly onLimitForwarded: (forwarded: LimitArrival) => void;
   /** All VMs by name. */
   readonly peers: ReadonlyMap<string, LabVm>;
 }
 
-/** How often limits that were confirmed are told again, in milliseconds. */
-const SPREAD_MS = 1_000;
+/** Interval at which recently confirmed limits are sent again, in milliseconds. */
+const GOSSIP_INTERVAL_MS = 1_000;
 
-/** VMs that each one tells news of limits. */
-const NEIGHBOURS = 6;
+/** Number of VMs to which each VM sends limit reports. */
+const NEIGHBOUR_COUNT = 6;
 
-/** Host that all requests of a lab are for. */
+/** Host name of all simulated requests. */
 export const LAB_HOST = 'lab.example';
 
-/** One VM: the product's own decisions, with everything around them in virtual time. */
+/** One VM: runs the production balancing logic with simulated network, targets and time. */
 export class LabVm {
   state: BalancerState;
 
@@ -63,10 +63,10 @@
   /** Messages sent to other VMs so far. */
   messages = 0;
 
-  /** Whether it is down: it takes no callers and hears nobody. */
+  /** Whether the VM is down: it gets no requests from callers and drops messages from VMs. */
   isDown = false;
 
-  /** Requests sent to targets so far. */
+  /** Attempts sent to targets so far. */
   sent = 0;
 
   /** @internal */
@@ -82,26 +82,26 @@
   private readonly tries = new Map<number, LabTry>();
 
   /** @internal */
-  private readonly wakes = new Map<number, CancelTimer>();
+  private readonly requestTimers = new Map<number, CancelTimer>();
 
   /** @internal */
-  private readonly works = new Map<number, { target: LabTarget; work: LabWork }>();
+  private readonly attempts = new Map<number, { target: LabTarget; work: LabWork }>();
 
-  /** @param parts - What it works with. */
+  /** @param parts - Plan, clock, random source, targets, peers and callbacks. */
   constructor(private readonly parts: LabVmParts) {
     this.state = this.start();
-    if (parts.plan.isTold) this.tellCurves();
-    parts.clock.after(SPREAD_MS, () => this.spreadAgain());
+    if (parts.plan.isSlowdownPreset) this.presetServiceCurves();
+    parts.clock.after(GOSSIP_INTERVAL_MS, () => this.gossipPeriodically());
   }
 
-  /** Ends all that it does; it forgets what it knew. */
+  /** Stops the VM: cancels its attempts, fails its pending tries and resets its state. */
   kill(): void {
     this.isDown = true;
-    for (const cancel of this.wakes.values()) cancel();
-    for (const attempt of this.works.keys()) this.cancel(attempt);
+    for (const cancel of this.requestTimers.values()) cancel();
+    for (const attempt of this.attempts.keys()) this.cancel(attempt);
     for (const each of this.tries.values()) each.onEnd({ kind: 'failed' });
-    this.wakes.clear();
-    this.works.clear();
+    this.requestTimers.clear();
+    this.attempts.clear();
     this.tries.clear();
     this.state = this.start();
   }
@@ -120,20 +120,20 @@
   }
 
   /** @internal */
-  private spreadAgain(): void {
+  private gossipPeriodically(): void {
     const { clock } = this.parts;
-    if (!this.isDown) this.spread(this.state.limits.getFreshReports(clock.now()));
-    clock.after(SPREAD_MS, () => this.spreadAgain());
+    if (!this.isDown) this.sendLimitReports(this.state.limits.getFreshReports(clock.now()));
+    clock.after(GOSSIP_INTERVAL_MS, () => this.gossipPeriodically());
   }
 
   /** @internal */
-  private tellCurves(): void {
+  private presetServiceCurves(): void {
     for (const { service, kneeShare, kneeSlowdown } of this.parts.plan.targets) {
       this.state.serviceCurves.set(service, new ServiceCurve({ kneeShare, kneeSlowdown }));
     }
   }
 
-  /** Tells it what the store holds. */
+  /** Applies the routing table, targets and VMs that a real VM reads from the store. */
   configure(
     table: RoutingTable,
     targets: readonly TargetRegistration[],
@@ -144,13 +144,13 @@
     this.dispatch({ kind: 'vmsChanged', vms });
   }
 
-  /** Tells it which VMs are up. */
-  tellVms(vms: readonly string[]): void {
+  /** Updates the list of live VMs. */
+  updateLiveVms(vms: readonly string[]): void {
     this.dispatch({ kind: 'vmsChanged', vms, announced: [...this.parts.peers.keys()] });
   }
 
-  /** Takes a try of a caller. */
-  ask(each: LabTry): void {
+  /** Accepts a try from a caller. */
+  startTry(each: LabTry): void {
     this.lastRequest += 1;
     const request = this.lastRequest;
     this.tries.set(request, each);
@@ -206,38 +206,38 @@
         this.wake(effect.request, effect.at);
         break;
       case 'askPermit':
-        this.tell(effect.vm, { kind: 'permitAsked', ask: effect.ask, from: this.parts.name });
+        this.sendToPeer(effect.vm, { kind: 'permitAsked', ask: effect.ask, from: this.parts.name });
         break;
       case 'answerPermit':
-        this.tell(effect.to, { kind: 'permitAnswered', answer: effect.answer });
+        this.sendToPeer(effect.to, { kind: 'permitAnswered', answer: effect.answer });
         break;
       case 'returnPermit':
-        this.tell(effect.vm, { kind: 'permitReturned', target: effect.target });
+        this.sendToPeer(effect.vm, { kind: 'permitReturned', target: effect.target });
         break;
       case 'gossipLimits':
-        this.spread(effect.reports);
+        this.sendLimitReports(effect.reports);
         break;
       default:
     }
   }
 
-  /** Tells neighbours what targets said of their limits. */
-  spread(reports: readonly LimitReport[]): void {
+  /** Sends limit reports to the neighbours. */
+  sendLimitReports(reports: readonly LimitReport[]): void {
     if (reports.length === 0) return;
     const { name, peers } = this.parts;
     const others = [...peers.keys()].filter((vm) => vm !== name);
-    // Which VMs are neighbours is drawn by a hash, as in the product.
-    for (const vm of getOwners(name, others, NEIGHBOURS)) {
-      this.tell(vm, { kind: 'limitsReported', reports });
+    // Neighbours are selected by a hash of the names, as in production.
+    for (const vm of getOwners(name, others, NEIGHBOUR_COUNT)) {
+      this.sendToPeer(vm, { kind: 'limitsReported', reports });
     }
   }
 
-  /** Sends a message to another VM; none arrives at one that is down. @internal */
-  private tell(vm: string, event: BalancerEvent): void {
+  /** Sends a message to another VM; it is lost if that VM is down on arrival. @internal */
+  private sendToPeer(vm: string, event: BalancerEvent): void {
     const { clock, plan, peers } = this.parts;
     this.messages += 1;
     if (this.isDown) return;
-    clock.after(plan.wayMs, () => {
+    clock.after(plan.oneWayDelayMs, () => {
       const peer = peers.get(vm);
       if (peer !== undefined && !peer.isDown) peer.dispatch(event);
     });
@@ -247,9 +247,9 @@
   private probe({ to }: Extract<BalancerEffect, { kind: 'probe' }>): void {
     const { clock, plan, targets } = this.parts;
     this.probes += 1;
-    clock.after(plan.wayMs, () => {
+    clock.after(plan.oneWayDelayMs, () => {
       const reading = targets.get(to.target)?.reading as LoadReading;
-      clock.after(plan.wayMs, () => {
+      clock.after(plan.oneWayDelayMs, () => {
         const end = { kind: 'answered', reading, coldMs: 0 } as const;
         this.dispatch({ kind: 'probeEnded', target: to.target, bornAt: to.bornAt, end });
       });
@@ -259,7 +259,7 @@
   /** @internal */
   private send(effect: Extract<BalancerEffect, { kind: 'sendAttempt' }>): void {
     const { request, attempt, to } = effect;
-    const { clock, plan, targets, name, onArrival, onTold } = this.parts;
+    const { clock, plan, targets, name, onArrival, onLimitForwarded: onTold } = this.parts;
     const each = this.tries.get(request);
     const target = targets.get(to.target);
     if (each === undefined || target === undefined) return;
@@ -268,8 +268,8 @@
       workMs: each.workMs,
       onRun: each.onRun,
       onEnd: (kind, reading, limit) =>
-        clock.after(plan.wayMs, () => {
-          if (!this.works.delete(attempt)) return;
+        clock.after(plan.oneWayDelayMs, () => {
+          if (!this.attempts.delete(attempt)) return;
           const end =
             kind === 'answered'
               ? ({ kind, status: 200, reading, limit } as const)
@@ -278,36 +278,36 @@
           this.dispatch({ kind: 'attemptEnded', attempt, end });
         }),
     };
-    this.works.set(attempt, { target, work });
-    clock.after(plan.wayMs, () => {
+    this.attempts.set(attempt, { target, work });
+    clock.after(plan.oneWayDelayMs, () => {
       onArrival({ target: to.target, vm: name, at: clock.now() });
-      target.take(work);
+      target.acceptRequest(work);
     });
   }
 
   /** @internal */
   private cancel(attempt: number): void {
     const { clock, plan } = this.parts;
-    const out = this.works.get(attempt);
-    this.works.delete(attempt);
-    if (out !== undefined) clock.after(plan.wayMs, () => out.target.withdraw(out.work));
+    const out = this.attempts.get(attempt);
+    this.attempts.delete(attempt);
+    if (out !== undefined) clock.after(plan.oneWayDelayMs, () => out.target.cancelWork(out.work));
   }
 
   /** @internal */
   private wake(request: number, at: number): void {
     const { clock } = this.parts;
-    this.wakes.get(request)?.();
+    this.requestTimers.get(request)?.();
     const cancel = clock.after(at - clock.now(), () => {
-      this.wakes.delete(request);
+      this.requestTimers.delete(request);
       this.dispatch({ kind: 'wakeDue', request });
     });
-    this.wakes.set(request, cancel);
+    this.requestTimers.set(request, cancel);
   }
 
   /** @internal */
-  private end(request: number, end: TryEnd): void {
-    this.wakes.get(request)?.();
-    this.wakes.delete(request);
+  private end(request: number, end: TryResult): void {
+    this.requestTimers.get(request)?.();
+    this.requestTimers.delete(request);
     const each = this.tries.get(request);
     this.tries.delete(request);
     each?.onEnd(end);
--- a/src/lab/RolloutPlan.ts
+++ b/src/lab/RolloutPlan.ts
@@ -1,41 +1,41 @@
-/** How a version is bad. */
-export interface Badness {
+/** Fault of a new version. */
+export interface VersionFault {
   readonly kind: 'fails' | 'slow';
-  /** Part of the answers that it concerns. */
+  /** Share of affected answers. */
   readonly portion: number;
-  /** Part of the ordered time after which it begins. */
+  /** Start of the fault, as a fraction of the rollout's duration. */
   readonly from: number;
-  /** Only requests of this route; all if left out. */
+  /** Affects only this route; all routes if left out. */
   readonly route?: string;
-  /** Only while a target runs at least so many requests. */
+  /** Affects only targets with at least this many running requests. */
   readonly fromRunning?: number;
 }
 
-/** A rollout that the lab plays. */
+/** A simulated rollout. */
 export interface RolloutPlan {
   readonly vms: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
-  /** Routes with their parts of the requests. */
+  /** Share of the requests by route. */
   readonly routes: Readonly<Record<string, number>>;
-  /** Targets of each version. */
+  /** Number of targets of each version. */
   readonly targets: number;
   readonly slots: number;
   readonly workMs: number;
   readonly durationMs: number;
   /** Undefined for a good version. */
-  readonly badness: Badness | undefined;
-  /** Part of the answers of any target that fail or are slow. */
-  readonly usualBad: number;
-  /** Part of the targets that fail half of their answers, whatever their version. */
-  readonly illTargets: number;
-  /** Part of the datagrams that are lost. */
+  readonly versionFault: VersionFault | undefined;
+  /** Share of failed or slow answers from any target, whatever its version. */
+  readonly baselineBadShare: number;
+  /** Share of targets with half of their answers bad, whatever their version. */
+  readonly faultyTargetShare: number;
+  /** Datagram loss rate, from 0 to 1. */
   readonly loss: number;
-  /** How many of the coordinators' VMs are killed halfway through the trial. */
+  /** Number of coordinators that are restarted with empty state at 40 % of the duration. */
   readonly killedCoordinators: number;
 }
 
-const BASE: RolloutPlan = {
+const DEFAULT_PLAN: RolloutPlan = {
   vms: 123,
   rate: 217,
   routes: { book: 0.91, sell: 0.09 },
@@ -43,51 +43,53 @@
   slots: 4,
   workMs: 290,
   durationMs: 12_000,
-  badness: undefined,
-  usualBad: 0.05,
-  illTargets: 0,
+  versionFault: undefined,
+  baselineBadShare: 0.05,
+  faultyTargetShare: 0,
   loss: 0.02,
   killedCoordinators: 0,
 };
 
 /**
- * Makes a plan.
- * @param changes - What differs from a service of a fleet of 123 VMs.
+ * Makes a rollout plan.
+ * @param changes - Overrides of the defaults, which describe a service on a fleet of 123 VMs.
  */
 export function makeRolloutPlan(changes: Partial<RolloutPlan> = {}): RolloutPlan {
-  return { ...BASE, ...changes };
+  return { ...DEFAULT_PLAN, ...changes };
 }
 
-/** Rollouts by name. */
+/** Simulated rollouts by name. */
 export const ROLLOUT_PLANS: Readonly<Record<string, RolloutPlan>> = {
   good: makeRolloutPlan(),
-  goodIll: makeRolloutPlan({ illTargets: 0.15 }),
-  goodTroubled: makeRolloutPlan({ usualBad: 0.25 }),
+  goodIll: makeRolloutPlan({ faultyTargetShare: 0.15 }),
+  goodTroubled: makeRolloutPlan({ baselineBadShare: 0.25 }),
   goodKilled: makeRolloutPlan({ killedCoordinators: 2 }),
   goodSmall: makeRolloutPlan({ vms: 17, rate: 30, targets: 12 }),
   goodLarge: makeRolloutPlan({ vms: 312, rate: 357, targets: 204, slots: 2, workMs: 220 }),
-  fails: makeRolloutPlan({ badness: { kind: 'fails', portion: 0.4, from: 0 } }),
-  failsSeldom: makeRolloutPlan({ badness: { kind: 'fails', portion: 0.2, from: 0 } }),
-  failsLater: makeRolloutPlan({ badness: { kind: 'fails', portion: 0.4, from: 0.5 } }),
+  fails: makeRolloutPlan({ versionFault: { kind: 'fails', portion: 0.4, from: 0 } }),
+  failsSeldom: makeRolloutPlan({ versionFault: { kind: 'fails', portion: 0.2, from: 0 } }),
+  failsLater: makeRolloutPlan({ versionFault: { kind: 'fails', portion: 0.4, from: 0.5 } }),
   failsOnRoute: makeRolloutPlan({
-    badness: { kind: 'fails', portion: 0.5, from: 0, route: 'sell' },
+    versionFault: { kind: 'fails', portion: 0.5, from: 0, route: 'sell' },
   }),
   failsFull: makeRolloutPlan({
-    badness: { kind: 'fails', portion: 0.5, from: 0, fromRunning: 3 },
+    versionFault: { kind: 'fails', portion: 0.5, from: 0, fromRunning: 3 },
+  }),
+  slow: makeRolloutPlan({ versionFault: { kind: 'slow', portion: 1, from: 0 } }),
+  slowLater: makeRolloutPlan({ versionFault: { kind: 'slow', portion: 1, from: 0.5 } }),
+  slowFull: makeRolloutPlan({
+    versionFault: { kind: 'slow', portion: 1, from: 0, fromRunning: 3 },
   }),
-  slow: makeRolloutPlan({ badness: { kind: 'slow', portion: 1, from: 0 } }),
-  slowLater: makeRolloutPlan({ badness: { kind: 'slow', portion: 1, from: 0.5 } }),
-  slowFull: makeRolloutPlan({ badness: { kind: 'slow', portion: 1, from: 0, fromRunning: 3 } }),
   slowSmall: makeRolloutPlan({
     vms: 17,
     rate: 30,
     targets: 12,
-    badness: { kind: 'slow', portion: 1, from: 0 },
+    versionFault: { kind: 'slow', portion: 1, from: 0 },
   }),
   failsLarge: makeRolloutPlan({
     vms: 312,
     rate: 357,
     targets: 204,
-    badness: { kind: 'fails', portion: 0.4, from: 0 },
+    versionFault: { kind: 'fails', portion: 0.4, from: 0 },
   }),
 };
--- a/src/lab/index.ts
+++ b/src/lab/index.ts
@@ -1,13 +1,13 @@
-export type { LabPlan, Rejecting, RoutePlan, Surge, TargetsPlan } from './LabPlan.js';
+export type { LabPlan, RejectionPeriod, RoutePlan, Surge, TargetsPlan } from './LabPlan.js';
 export { makePlan, makeRoute, makeTargets } from './LabPlan.js';
 export type { LabRecord, LabScore } from './LabRecord.js';
-export { getWorth, scoreLab } from './LabRecord.js';
-export type { LimitArrival, LimitNaming, LimitWindow } from './limitWindows.js';
+export { getOverallScore, scoreLab } from './LabRecord.js';
+export type { LimitArrival, LimitChange, LimitWindow } from './limitWindows.js';
 export { findWorstWindows } from './limitWindows.js';
 export { LAB_PLANS, LIMIT_PLANS } from './plans.js';
 export type { LabResult } from './playLab.js';
 export { playLab } from './playLab.js';
 export type { RolloutResult } from './playRollout.js';
 export { playRollout } from './playRollout.js';
-export type { Badness, RolloutPlan } from './RolloutPlan.js';
+export type { VersionFault, RolloutPlan } from './RolloutPlan.js';
 export { makeRolloutPlan, ROLLOUT_PLANS } from './RolloutPlan.js';
--- a/src/lab/limitWindows.ts
+++ b/src/lab/limitWindows.ts
@@ -1,27 +1,27 @@
 /** A request that reached a target. */
 export interface LimitArrival {
   readonly target: string;
-  /** VM that sent it. */
+  /** VM that sent the request. */
   readonly vm: string;
-  /** In milliseconds. */
+  /** Virtual time in milliseconds. */
   readonly at: number;
 }
 
-/** A target named a limit, another one, or none any more. */
-export interface LimitNaming {
+/** A change of the limit that a target advertises. */
+export interface LimitChange {
   readonly target: string;
-  /** Requests a second; undefined if none is named from then on. */
+  /** Requests per second; undefined if the target no longer advertises a limit. */
   readonly perSecond: number | undefined;
   readonly at: number;
 }
 
-/** What was seen of limits from outside the VMs. */
+/** Limit-related events that were recorded outside the VMs. */
 export interface LimitObservations {
   readonly arrivals: readonly LimitArrival[];
-  readonly namings: readonly LimitNaming[];
-  /** Answers with a limit that VMs passed on to callers. */
-  readonly told: readonly LimitArrival[];
-  /** Times at which VMs were disturbed, which excuses them until they are settled. */
+  readonly limitChanges: readonly LimitChange[];
+  /** Answers with a limit that VMs forwarded to callers. */
+  readonly forwardedLimits: readonly LimitArrival[];
+  /** Periods in which a VM's requests aren't counted because of an outage, recovery included. */
   readonly excused?: readonly {
     readonly vm: string;
     readonly from: number;
@@ -29,65 +29,67 @@
   }[];
 }
 
-/** The stretch of time in which a target got most, against what its limit allows. */
+/** Time window in which a target's requests were highest relative to its limit. */
 export interface LimitWindow {
   readonly target: string;
-  /** End of the stretch. */
+  /** End of the window, in virtual milliseconds. */
   readonly at: number;
   readonly got: number;
   readonly allowed: number;
 }
 
-/** Length of the stretch that requests are counted in, in milliseconds. */
+/** Length of the window in which requests are counted, in milliseconds. */
 const WINDOW_MS = 4_000;
 
-/** From the first naming on VMs have so long to act by it, in milliseconds. */
-const SETTLE_MS = 3_000;
+/** Time that VMs have to apply a target's first limit, in milliseconds. */
+const FIRST_LIMIT_GRACE_MS = 3_000;
 
-/** A VM is counted from this time after it has passed on an answer that names a limit, in ms. */
-const TOLD_MS = 500;
+/** A VM's requests count from this time after its first answer with the target's limit, in ms. */
+const FORWARDED_GRACE_MS = 500;
 
-/** What a target may get in a stretch: so many times its limit, and so many requests more. */
-const OVERAGE = 1.5;
-const SLACK = 5;
+/** A window may hold this multiple of the limit, plus a fixed number of requests. */
+const OVERAGE_FACTOR = 1.5;
+const SLACK_REQUESTS = 5;
 
-/** The highest limit in force at any time of a stretch; undefined if none was for a part of it. */
-function getLimit(
-  namings: readonly LimitNaming[],
+/** Gets the highest limit in force during a window; undefined if part of it had no limit. */
+function getHighestLimit(
+  limitChanges: readonly LimitChange[],
   from: number,
   until: number,
 ): number | undefined {
-  const before = namings.filter(({ at }) => at <= from).at(-1);
-  const within = namings.filter(({ at }) => at > from && at <= until);
+  const before = limitChanges.filter(({ at }) => at <= from).at(-1);
+  const within = limitChanges.filter(({ at }) => at > from && at <= until);
   const limits = [before, ...within].map((each) => each?.perSecond);
   return limits.some((limit) => limit === undefined)
     ? undefined
     : Math.max(...(limits as number[]));
 }
 
-function findWorst(target: string, seen: LimitObservations): LimitWindow | undefined {
-  const namings = seen.namings.filter((each) => each.target === target);
-  const firstAt = namings.find(({ perSecond }) => perSecond !== undefined)?.at;
+function findWorstWindow(target: string, observations: LimitObservations): LimitWindow | undefined {
+  const limitChanges = observations.limitChanges.filter((each) => each.target === target);
+  const firstAt = limitChanges.find(({ perSecond }) => perSecond !== undefined)?.at;
   if (firstAt === undefined) return undefined;
-  const toldAt = new Map<string, number>();
-  for (const { vm, at, target: id } of seen.told) {
-    if (id === target) toldAt.set(vm, Math.min(at, toldAt.get(vm) ?? Infinity));
+  const firstForwardedAt = new Map<string, number>();
+  for (const { vm, at, target: id } of observations.forwardedLimits) {
+    if (id === target) firstForwardedAt.set(vm, Math.min(at, firstForwardedAt.get(vm) ?? Infinity));
   }
   const isExcused = ({ vm, at }: LimitArrival): boolean =>
-    (seen.excused ?? []).some((each) => each.vm === vm && at >= each.from && at <= each.until);
-  const counted = seen.arrivals.filter(
+    (observations.excused ?? []).some(
+      (each) => each.vm === vm && at >= each.from && at <= each.until,
+    );
+  const counted = observations.arrivals.filter(
     (each) =>
       each.target === target &&
-      each.at >= (toldAt.get(each.vm) ?? Infinity) + TOLD_MS &&
+      each.at >= (firstForwardedAt.get(each.vm) ?? Infinity) + FORWARDED_GRACE_MS &&
       !isExcused(each),
   );
   let worst: LimitWindow | undefined;
   for (const { at } of counted) {
-    if (at < firstAt + SETTLE_MS) continue;
-    const limit = getLimit(namings, at - WINDOW_MS, at);
+    if (at < firstAt + FIRST_LIMIT_GRACE_MS) continue;
+    const limit = getHighestLimit(limitChanges, at - WINDOW_MS, at);
     if (limit === undefined) continue;
     const got = counted.filter((each) => each.at > at - WINDOW_MS && each.at <= at).length;
-    const allowed = (OVERAGE * limit * WINDOW_MS) / 1_000 + SLACK;
+    const allowed = (OVERAGE_FACTOR * limit * WINDOW_MS) / 1_000 + SLACK_REQUESTS;
     if (worst === undefined || got / allowed > worst.got / worst.allowed) {
       worst = { target, at, got, allowed };
     }
@@ -96,13 +98,13 @@
 }
 
 /**
- * For each target that named a limit, the stretch in which it got most of what that allows, from VMs
- * that it had told.
- * @param seen - What was seen from outside the VMs.
+ * Finds, for each target that advertised a limit, the window with the highest ratio of received to
+ * allowed requests. Only requests from VMs that already knew of a limit of that target count.
+ * @param observations - Events recorded outside the VMs.
  * @example
- * findWorstWindows(seen).filter(({ got, allowed }) => got > allowed); // broken limits
+ * findWorstWindows(observations).filter(({ got, allowed }) => got > allowed); // exceeded limits
  */
-export function findWorstWindows(seen: LimitObservations): LimitWindow[] {
-  const targets = [...new Set(seen.namings.map(({ target }) => target))];
-  return targets.flatMap((target) => findWorst(target, seen) ?? []);
+export function findWorstWindows(observations: LimitObservations): LimitWindow[] {
+  const targets = [...new Set(observations.limitChanges.map(({ target }) => target))];
+  return targets.flatMap((target) => findWorstWindow(target, observations) ?? []);
 }
--- a/src/lab/main.ts
+++ b/src/lab/main.ts
@@ -1,8 +1,8 @@
-import { getWorth } from './LabRecord.js';
+import { getOverallScore } from './LabRecord.js';
 import { LAB_PLANS } from './plans.js';
 import { playLab } from './playLab.js';
 
-/** Seeds are so far apart: each run takes the next one too. */
+/** Distance between the seeds of runs; each run also uses the seed that follows its own. */
 const SEED_STEP = 7;
 
 function readFlag(flag: string, fallback: string): string {
@@ -14,7 +14,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Plays one plan over some seeds and prints a line. */
+/** Runs one plan with several seeds, prints the mean results and returns whether all bounds held. */
 function play(name: string, seeds: number): boolean {
   const results = Array.from({ length: seeds }, (_, i) =>
     playLab(LAB_PLANS[name], (i + 1) * SEED_STEP),
@@ -23,8 +23,8 @@
     getMean(results.map(get)).toFixed(3).padStart(6);
   const broken = results.flatMap((result) => result.broken);
   process.stdout.write(
-    `${name.padEnd(12)}${mean(({ score }) => getWorth(score))} of ` +
-      `${mean(({ ceiling }) => getWorth(ceiling))}   ${mean(({ score }) => score.payoff)}   ` +
+    `${name.padEnd(12)}${mean(({ score }) => getOverallScore(score))} of ` +
+      `${mean(({ ceiling }) => getOverallScore(ceiling))}   ${mean(({ score }) => score.payoff)}   ` +
       `${mean(({ score }) => score.worstPayoff)}   ${mean(({ score }) => score.late)}   ` +
       `${mean(({ score }) => score.unserved)}   ${mean(({ score }) => score.refusals)}   ` +
       `${getMean(results.map(({ score }) => score.heldMs))
@@ -37,7 +37,7 @@
   return broken.length === 0;
 }
 
-/** Plays plans with the product's own decisions and beside a scheduler that knows everything. */
+/** Runs plans with the production balancing logic and compares them with an omniscient scheduler. */
 function main(): void {
   const seeds = Number(readFlag('seeds', '5'));
   const all = Object.keys(LAB_PLANS);
@@ -45,13 +45,13 @@
   const unknown = chosen.filter((name) => !all.includes(name));
   if (unknown.length > 0 || !Number.isInteger(seeds) || seeds < 1) {
     process.stderr.write(
-      `--plan takes ${all.join(', ')}, with commas between them; --seeds a number from 1 on\n`,
+      `--plan takes a comma-separated list of ${all.join(', ')}; --seeds an integer of at least 1\n`,
     );
     process.exitCode = 2;
     return;
   }
   process.stdout.write(
-    `plan         worth of ceiling  payoff    worst     late unserved refused  held, ms probes\n`,
+    `plan         score of ceiling  payoff    worst     late unserved refused  held, ms probes\n`,
   );
   const isSound = chosen.map((name) => play(name, seeds)).every(Boolean);
   process.exitCode = isSound ? 0 : 1;
--- a/src/lab/plans.ts
+++ b/src/lab/plans.ts
@@ -29,18 +29,18 @@
 
 const LIMITED = { surges: [], untilMs: 24_000 };
 
-/** Targets that name the requests a second which they take from all VMs together. */
+/** Plans with targets that advertise a limit in requests per second, shared by all VMs. */
 export const LIMIT_PLANS: Readonly<Record<string, LabPlan>> = {
-  /** Others of their service bear the rest of the load. */
+  /** The other targets of the service take the rest of the load. */
   someLimited: makePlan({ ...LIMITED, limiting: [limit(2, 1.3)] }),
-  /** Nowhere else to go. */
+  /** No target without a limit is left. */
   allLimited: makePlan({ ...LIMITED, limiting: [limit(9, 6)] }),
   limitsFall: makePlan({
     ...LIMITED,
     limiting: [limit(2, 8, { untilMs: LIMITS_FALL_MS }), limit(2, 1.3, { fromMs: LIMITS_FALL_MS })],
   }),
   limitsEnd: makePlan({ ...LIMITED, limiting: [limit(2, 1.3, { untilMs: LIMITS_FALL_MS })] }),
-  /** VMs that issue permits among those that die and come back; others differ on who is up. */
+  /** Permit issuers are among the VMs that fail and restart; the others' views of live VMs differ. */
   allLimitedVmsDie: makePlan({
     ...LIMITED,
     vms: 6,
@@ -51,25 +51,25 @@
       { vm: 2, fromMs: 17_000, untilMs: 18_000 },
     ],
   }),
-  /** Half of their answers name the limit. */
+  /** Half of the answers carry the limit. */
   limitsNamedAtTimes: makePlan({ ...LIMITED, limiting: [limit(2, 1.3, { share: 0.5 })] }),
 };
 
-/** Deployments and loads that differ in what binds. None is that of a user. */
+/** Plans that differ in the limiting resource. None models a real deployment. */
 export const LAB_PLANS: Readonly<Record<string, LabPlan>> = {
-  /** Targets bear the load at ease. */
+  /** Load well below the targets' capacity. */
   calm: makePlan({ surges: [], untilMs: 8_000 }),
-  /** As much as targets bear if each slot is used at once. */
+  /** Load that the targets can serve only if no slot is ever idle. */
   surge: makePlan({ surges: surge(1.6) }),
-  /** More than they bear. */
+  /** Load above the targets' capacity. */
   flood: makePlan({ surges: surge(2) }),
   shortSurge: makePlan({ surges: [{ fromMs: SURGE_FROM_MS, untilMs: 7_000, factor: 1.8 }] }),
-  /** All targets reject half of what they get, whatever their load. */
+  /** All targets reject 55 % of their requests, whatever their load. */
   rejecting: makePlan({
     surges: [],
     rejecting: [{ service: 'lookup', fromMs: SURGE_FROM_MS, untilMs: SURGE_UNTIL_MS, share: 0.55 }],
   }),
-  /** Targets with two slots, of which the second is slow. */
+  /** Targets with two slots that slow down when both are busy. */
   twoSlots: makePlan({
     vms: 15,
     targets: [makeTargets('lookup', { slots: 2, count: 12, queue: 4 })],
@@ -84,7 +84,7 @@
     ],
     surges: surge(1.8),
   }),
-  /** Targets that slow down from half of their slots on, with long and mild spells. */
+  /** Targets that slow down above half of their slots, with long and mild slow spells. */
   earlyKnee: makePlan({
     targets: [
       makeTargets('lookup', {
@@ -103,6 +103,6 @@
     targets: [makeTargets('lookup', { kneeShare: 1, kneeSlowdown: 1 })],
     surges: surge(2.2),
   }),
-  /** The surge on one VM, which knows all that is sent. */
+  /** The surge on a single VM, which sends all requests itself and so knows all load. */
   oneVm: makePlan({ vms: 1, surges: surge(1.6) }),
 };
--- a/src/lab/playLab.ts
+++ b/src/lab/playLab.ts
@@ -3,7 +3,7 @@
 import { createRandom } from '../standIns/models/index.js';
 import { drawArrivals, LabCallers } from './LabCallers.js';
 import type { LabPlan } from './LabPlan.js';
-import type { LimitArrival, LimitNaming, LimitWindow } from './limitWindows.js';
+import type { LimitArrival, LimitChange, LimitWindow } from './limitWindows.js';
 import { findWorstWindows } from './limitWindows.js';
 import type { LabRecord, LabScore } from './LabRecord.js';
 import { scoreLab } from './LabRecord.js';
@@ -11,22 +11,22 @@
 import { LAB_HOST, LabVm } from './LabVm.js';
 import { playCeiling } from './playCeiling.js';
 
-/** What came of one run. */
+/** Result of one run. */
 export interface LabResult {
   readonly score: LabScore;
-  /** What a scheduler that knows everything got from the same arrivals. */
+  /** Score of an omniscient scheduler with the same arrivals. */
   readonly ceiling: LabScore;
   readonly records: readonly LabRecord[];
   readonly vms: readonly LabVm[];
-  /** Probes for each request. */
+  /** Probes per request. */
   readonly probes: number;
-  /** Sendings to targets for each request. */
+  /** Attempts sent to targets per request. */
   readonly sendings: number;
-  /** The worst stretch of each target that named a limit. */
+  /** Worst window of each target that advertised a limit. */
   readonly limits: readonly LimitWindow[];
-  /** Requests that reached targets while they named a limit, as a share of what the limits let through. */
+  /** Requests that reached limited targets, as a share of what their limits allowed. */
   readonly limitUse: number;
-  /** Bounds that did not hold; none if all is well. */
+  /** Descriptions of violated bounds; empty if all held. */
   readonly broken: readonly string[];
 }
 
@@ -54,7 +54,7 @@
   };
 }
 
-function makeEntries(plan: LabPlan): TargetRegistration[] {
+function makeRegistrations(plan: LabPlan): TargetRegistration[] {
   return plan.targets.flatMap(({ service, count, slots }, s) =>
     Array.from({ length: count }, (_, i) => ({
       id: `${service}-${i + 1}`,
@@ -70,28 +70,30 @@
   );
 }
 
-function findBroken(
+function findViolations(
   records: readonly LabRecord[],
   probesPerTarget: number,
-  most: number,
+  maxProbes: number,
 ): string[] {
   const broken: string[] = [];
-  const twice = records.filter(({ route, runs }) => !route.isIdempotent && runs > 1).length;
-  if (twice > 0) broken.push(`${twice} requests that may run once ran more often`);
-  if (probesPerTarget > most) {
-    broken.push(`${probesPerTarget.toFixed(1)} probes a target and second, allowed are ${most}`);
+  const repeatedCount = records.filter(({ route, runs }) => !route.isIdempotent && runs > 1).length;
+  if (repeatedCount > 0) broken.push(`${repeatedCount} non-idempotent requests ran more than once`);
+  if (probesPerTarget > maxProbes) {
+    broken.push(
+      `${probesPerTarget.toFixed(1)} probes per target and second exceed the maximum of ${maxProbes}`,
+    );
   }
   return broken;
 }
 
-/** Each second VM learns that another is down, after so long, in milliseconds; views differ. */
-const NOTICED_MS = 2_400;
+/** Delay, in ms, until half of the VMs learn of an outage or its end; the others aren't told. */
+const OUTAGE_DETECTION_MS = 2_400;
 
-/** VMs that were down are excused for so long after, in milliseconds. */
-const EXCUSED_MS = 3_000;
+/** Time after an outage in which a VM's requests aren't checked against limits, in milliseconds. */
+const OUTAGE_GRACE_MS = 3_000;
 
-/** Kills VMs and starts them again when the plan says so; gives when each is excused from limits. */
-function planDowns(
+/** Schedules the plan's VM outages; returns the periods in which a VM's requests aren't checked. */
+function scheduleOutages(
   plan: LabPlan,
   entries: readonly TargetRegistration[],
   vms: readonly LabVm[],
@@ -100,25 +102,28 @@
 ): { readonly vm: string; readonly from: number; readonly until: number }[] {
   for (const { vm, fromMs, untilMs } of plan.down) {
     const others = vms.filter((_, i) => i !== vm && i % 2 === 0);
-    const tell = (list: readonly string[]): void => others.forEach((each) => each.tellVms(list));
+    const updateOthers = (list: readonly string[]): void =>
+      others.forEach((each) => each.updateLiveVms(list));
     clock.after(fromMs, () => vms[vm].kill());
-    clock.after(fromMs + NOTICED_MS, () => tell(names.filter((name) => name !== names[vm])));
+    clock.after(fromMs + OUTAGE_DETECTION_MS, () =>
+      updateOthers(names.filter((name) => name !== names[vm])),
+    );
     clock.after(untilMs, () => {
       vms[vm].isDown = false;
       vms[vm].configure(makeTable(plan), entries, names);
     });
-    clock.after(untilMs + NOTICED_MS, () => tell(names));
+    clock.after(untilMs + OUTAGE_DETECTION_MS, () => updateOthers(names));
   }
   return plan.down.map(({ vm, fromMs, untilMs }) => ({
     vm: names[vm],
     from: fromMs,
-    until: untilMs + EXCUSED_MS,
+    until: untilMs + OUTAGE_GRACE_MS,
   }));
 }
 
 function describeExcess({ target, at, got, allowed }: LimitWindow): string {
   const seconds = (at / 1_000).toFixed(1);
-  return `${target} named a limit and got ${got} requests in 4 s until ${seconds} s, allowed are ${allowed}`;
+  return `${target} got ${got} requests in the 4 s before ${seconds} s, but its limit allows ${allowed}`;
 }
 
 function getLimited(
@@ -131,19 +136,19 @@
     .map(({ id }) => id);
 }
 
-/** Has targets name limits when the plan says so; gives the namings, which fill up as time passes. */
-function planLimits(
+/** Schedules the plan's limits; returns a list of limit changes that grows during the run. */
+function scheduleLimits(
   plan: LabPlan,
   entries: readonly TargetRegistration[],
   targets: ReadonlyMap<string, LabTarget>,
   clock: VirtualClock,
-): readonly LimitNaming[] {
-  const namings: LimitNaming[] = [];
+): readonly LimitChange[] {
+  const limitChanges: LimitChange[] = [];
   const set = (id: string, perSecond: number | undefined, share = 1): void => {
     const target = targets.get(id) as LabTarget;
     target.limitPerSecond = perSecond;
     target.limitShare = share;
-    namings.push({ target: id, perSecond, at: clock.now() });
+    limitChanges.push({ target: id, perSecond, at: clock.now() });
   };
   for (const limiting of plan.limiting) {
     const { fromMs, untilMs, perSecond, share } = limiting;
@@ -152,36 +157,36 @@
     const endsHere = !plan.limiting.some((each) => each.fromMs === untilMs);
     if (endsHere) clock.after(untilMs, () => limited.forEach((id) => set(id, undefined)));
   }
-  return namings;
+  return limitChanges;
 }
 
-/** VMs have so long to act by a limit before its use is looked at, in milliseconds. */
-const LIMIT_SETTLED_MS = 3_000;
+/** Time that VMs have to apply a limit before its use is measured, in milliseconds. */
+const LIMIT_SETTLE_MS = 3_000;
 
 function getLimitUse(
   plan: LabPlan,
   entries: readonly TargetRegistration[],
   arrivals: readonly LimitArrival[],
 ): number {
-  let got = 0;
-  let offered = 0;
+  let receivedCount = 0;
+  let allowedCount = 0;
   for (const limiting of plan.limiting) {
     const limited = new Set(getLimited(limiting, entries));
-    const fromMs = limiting.fromMs + LIMIT_SETTLED_MS;
+    const fromMs = limiting.fromMs + LIMIT_SETTLE_MS;
     const untilMs = Math.min(limiting.untilMs, plan.untilMs);
-    got += arrivals.filter(
+    receivedCount += arrivals.filter(
       ({ target, at }) => limited.has(target) && at >= fromMs && at < untilMs,
     ).length;
-    offered += (limited.size * limiting.perSecond * Math.max(0, untilMs - fromMs)) / 1_000;
+    allowedCount += (limited.size * limiting.perSecond * Math.max(0, untilMs - fromMs)) / 1_000;
   }
-  return offered === 0 ? 0 : got / offered;
+  return allowedCount === 0 ? 0 : receivedCount / allowedCount;
 }
 
 /**
- * Plays a deployment in virtual time with the product's own decisions on every VM, and the same
- * arrivals with a scheduler that knows everything.
- * @param plan - Deployment, load and troubles.
- * @param seed - Of chance.
+ * Simulates a deployment in virtual time with the production balancing logic on every VM, and the
+ * same arrivals with an omniscient scheduler.
+ * @param plan - Deployment, load and faults.
+ * @param seed - Seed of the random numbers; `seed + 1` is used too.
  * @example
  * const { score, ceiling } = playLab(makePlan(), 1);
  */
@@ -189,7 +194,7 @@
   const clock = new VirtualClock();
   const arrivals = drawArrivals(plan, createRandom(seed));
   const random = createRandom(seed + 1);
-  const entries = makeEntries(plan);
+  const entries = makeRegistrations(plan);
   const planOf = new Map(plan.targets.map((each) => [each.service, each]));
   const targets = new Map(
     entries.map(({ id, service }) => [
@@ -199,7 +204,7 @@
   );
   const names = Array.from({ length: plan.vms }, (_, i) => `vm-${i + 1}`);
   const arrived: LimitArrival[] = [];
-  const told: LimitArrival[] = [];
+  const forwardedLimits: LimitArrival[] = [];
   const peers = new Map<string, LabVm>();
   const vms = names.map(
     (name) =>
@@ -211,12 +216,12 @@
         targets,
         peers,
         onArrival: (arrival) => arrived.push(arrival),
-        onTold: (each) => told.push(each),
+        onLimitForwarded: (each) => forwardedLimits.push(each),
       }),
   );
   vms.forEach((vm, i) => peers.set(names[i], vm));
   for (const vm of vms) vm.configure(makeTable(plan), entries, names);
-  const excused = planDowns(plan, entries, vms, names, clock);
+  const excused = scheduleOutages(plan, entries, vms, names, clock);
   for (const { service, fromMs, untilMs, share } of plan.rejecting) {
     const some = entries.filter((each) => each.service === service);
     const set = (to: number): void =>
@@ -226,7 +231,7 @@
     clock.after(fromMs, () => set(share));
     clock.after(untilMs, () => set(0));
   }
-  const namings = planLimits(plan, entries, targets, clock);
+  const limitChanges = scheduleLimits(plan, entries, targets, clock);
   const callers = new LabCallers({ plan, clock, random, vms });
   callers.start(arrivals);
   const endsAt = plan.untilMs + Math.max(...plan.routes.map(({ allowedMs }) => allowedMs));
@@ -234,7 +239,12 @@
   const { records } = callers;
   const probes = vms.reduce((sum, vm) => sum + vm.probes, 0);
   const sent = vms.reduce((sum, vm) => sum + vm.sent, 0);
-  const limits = findWorstWindows({ arrivals: arrived, namings, told, excused });
+  const limits = findWorstWindows({
+    arrivals: arrived,
+    limitChanges,
+    forwardedLimits,
+    excused,
+  });
   return {
     score: scoreLab(records),
     ceiling: scoreLab(playCeiling(plan, arrivals, createRandom(seed + 1))),
@@ -245,7 +255,7 @@
     limits,
     limitUse: getLimitUse(plan, entries, arrived),
     broken: [
-      ...findBroken(records, (probes / entries.length / endsAt) * 1_000, plan.probesPerSecond),
+      ...findViolations(records, (probes / entries.length / endsAt) * 1_000, plan.probesPerSecond),
       ...limits.filter(({ got, allowed }) => got > allowed).map(describeExcess),
     ],
   };
--- a/src/lab/playRollout.ts
+++ b/src/lab/playRollout.ts
@@ -7,47 +7,47 @@
 import type { RolloutPlan } from './RolloutPlan.js';
 
 const COORDINATORS = 3;
-const REPORT_MS = 400;
-const GUIDANCE_MS = 1_200;
-/** Time until all VMs know a state that was written, in milliseconds. */
-const WRITTEN_MS = 200;
-/** A slow answer takes so many times as long, and any is bad that takes `LATE` times as long. */
-const SLOW = 4;
-const LATE = 1.8;
-/** New targets are cold for so long after the order, in milliseconds. */
+const REPORT_INTERVAL_MS = 400;
+const GUIDANCE_TTL_MS = 1_200;
+/** Delay until all VMs know a written state, in milliseconds. */
+const STATE_PROPAGATION_MS = 200;
+/** A slow answer takes `SLOW_FACTOR` times its work; it counts as bad after `BAD_LATENCY_FACTOR`. */
+const SLOW_FACTOR = 4;
+const BAD_LATENCY_FACTOR = 1.8;
+/** Time after the order during which new targets are cold, in milliseconds. */
 const COLD_MS = 3_000;
-/** A bad version's bad answer of this number starts the time in which it has to be taken back. */
-const COUNTED_BAD = 50;
+/** The time allowed for a rollback starts at this number of bad answers from the new version. */
+const BAD_ANSWER_THRESHOLD = 50;
 
-/** What came of a rollout. */
+/** Result of a simulated rollout. */
 export interface RolloutResult {
   readonly state: RolloutState;
-  /** When the state was written, in milliseconds after the order; infinite if it never was. */
+  /** Time of the state's write, in milliseconds after the order; infinite if it never was written. */
   readonly writtenAt: number;
-  /** Requests to the new version and to both, from the order to its limit. */
+  /** Requests to the new version and to both versions, within the ordered duration. */
   readonly exposed: number;
   readonly requests: number;
-  /** Longest that a request went to the new version after the 50th bad answer, in milliseconds. */
+  /** Time from the 50th bad answer to the last request to the new version, in milliseconds. */
   readonly afterBadMs: number;
-  /** Requests at old targets as completion was known. */
+  /** Requests still running on old targets when all VMs learned of the completion. */
   readonly lost: number;
 }
 
 interface LabVersionTarget {
   readonly id: string;
-  readonly isIll: boolean;
+  readonly isFaulty: boolean;
   running: number;
 }
 
 function makeTargets(plan: RolloutPlan, name: string, random: () => number): LabVersionTarget[] {
   return Array.from({ length: plan.targets }, (_, i) => ({
     id: `${name}-${i}`,
-    isIll: random() < plan.illTargets,
+    isFaulty: random() < plan.faultyTargetShare,
     running: 0,
   }));
 }
 
-/** One rollout with its VMs, targets and coordinators in virtual time. */
+/** One simulated rollout with its VMs, targets and coordinators, in virtual time. */
 class RolloutRun {
   /** @internal */
   private readonly clock = new VirtualClock();
@@ -61,17 +61,17 @@
   /** @internal */
   private readonly sequences: number[];
 
-  /** Requests at old targets, by VM. @internal */
+  /** Requests running on old targets, by VM. @internal */
   private readonly oldRequests: number[];
 
   /** @internal */
   private readonly coordinators: (RolloutCoordinator | undefined)[];
 
   /** @internal */
-  private readonly old: readonly LabVersionTarget[];
+  private readonly oldTargets: readonly LabVersionTarget[];
 
   /** @internal */
-  private readonly fresh: readonly LabVersionTarget[];
+  private readonly newTargets: readonly LabVersionTarget[];
 
   /** @internal */
   private result = {
@@ -87,7 +87,7 @@
   private bad = 0;
 
   /** @internal */
-  private badAt = Infinity;
+  private badThresholdAt = Infinity;
 
   constructor(
     private readonly plan: RolloutPlan,
@@ -96,9 +96,9 @@
     private readonly createTest: (() => VersionTest) | undefined,
   ) {
     this.random = createRandom(seed);
-    this.old = makeTargets(plan, 'old', this.random);
-    this.fresh = makeTargets(plan, 'new', this.random);
-    const newTargets = this.fresh.map(({ id }) => id);
+    this.oldTargets = makeTargets(plan, 'old', this.random);
+    this.newTargets = makeTargets(plan, 'new', this.random);
+    const newTargets = this.newTargets.map(({ id }) => id);
     const order = {
       id: 'o-1',
       name: 'lab',
@@ -127,14 +127,14 @@
 
   play(): RolloutResult {
     const { plan, clock, random } = this;
-    this.vms.forEach((_, i) => clock.after(random() * REPORT_MS, () => this.report(i)));
-    this.arrive();
+    this.vms.forEach((_, i) => clock.after(random() * REPORT_INTERVAL_MS, () => this.report(i)));
+    this.scheduleArrivals();
     clock.after(0.4 * plan.durationMs, () => this.killCoordinators());
     clock.runUntil(1.5 * plan.durationMs);
     return this.result;
   }
 
-  /** Their VMs come back at once, knowing nothing. @internal */
+  /** Replaces coordinators with new ones without state, as if their VMs restarted. @internal */
   private killCoordinators(): void {
     for (let i = 0; i < this.plan.killedCoordinators; i++) {
       const { order } = this.vms[0];
@@ -160,24 +160,24 @@
       oldRequests: this.oldRequests[vm],
       counts: rollout.evidence.totals,
     } as const;
-    let isTold = false;
+    let hasGuidance = false;
     for (const coordinator of this.coordinators) {
       if (random() < plan.loss || coordinator === undefined) continue;
       coordinator.addReport(report, now);
       const guidance = coordinator.decide(now, plan.vms);
-      const isFirst = !isTold || guidance?.phase === 'stopped';
+      const isFirst = !hasGuidance || guidance?.phase === 'stopped';
       if (guidance === undefined || !isFirst || random() < plan.loss) continue;
-      isTold = true;
+      hasGuidance = true;
       rollout.guidance = guidance;
-      rollout.guidedUntil = now + GUIDANCE_MS;
+      rollout.guidedUntil = now + GUIDANCE_TTL_MS;
       if (guidance.phase === 'stopped') rollout.isStopped = true;
     }
-    this.writeDue();
-    clock.after(REPORT_MS, () => this.report(vm));
+    this.writeDueState();
+    clock.after(REPORT_INTERVAL_MS, () => this.report(vm));
   }
 
   /** @internal */
-  private writeDue(): void {
+  private writeDueState(): void {
     const { clock, coordinators, result } = this;
     if (result.state !== 'running') return;
     const now = clock.now();
@@ -185,17 +185,17 @@
     if (state === undefined) return;
     result.state = state;
     result.writtenAt = now;
-    clock.after(WRITTEN_MS, () => {
+    clock.after(STATE_PROPAGATION_MS, () => {
       for (const rollout of this.vms) rollout.order = { ...rollout.order, state };
       if (state === 'completed') result.lost = this.oldRequests.reduce((sum, n) => sum + n, 0);
     });
   }
 
   /** @internal */
-  private arrive(): void {
+  private scheduleArrivals(): void {
     const { clock, random, plan } = this;
     this.request();
-    clock.after((-Math.log(1 - random()) / plan.rate) * 1_000, () => this.arrive());
+    clock.after((-Math.log(1 - random()) / plan.rate) * 1_000, () => this.scheduleArrivals());
   }
 
   /** @internal */
@@ -207,30 +207,32 @@
     if (now < plan.durationMs) result.requests += 1;
     const rollout = vms[vm];
     const stage = getStage(rollout, now);
-    const isAll = stage === 'moved' || stage === 'completed';
+    const isNewOnly = stage === 'moved' || stage === 'completed';
     const isSome = (stage === 'trial' || stage === 'moving') && now > COLD_MS;
-    const isTried = isAll || (isSome && random() < getRouteShare(rollout, route));
-    const target = isTried ? this.chooseNew(rollout, isAll) : undefined;
-    if (target === undefined) this.run(vm, route, this.choose(this.old), false);
+    const isNewVersion = isNewOnly || (isSome && random() < getRouteShare(rollout, route));
+    const target = isNewVersion ? this.chooseNewTarget(rollout, isNewOnly) : undefined;
+    if (target === undefined) this.run(vm, route, this.chooseLessLoaded(this.oldTargets), false);
     else {
       if (now < plan.durationMs) result.exposed += 1;
-      if (this.bad >= COUNTED_BAD) result.afterBadMs = now - this.badAt;
+      if (this.bad >= BAD_ANSWER_THRESHOLD) result.afterBadMs = now - this.badThresholdAt;
       this.run(vm, route, target, true);
     }
   }
 
   /** @internal */
-  private chooseNew(rollout: ServiceRollout, isAll: boolean): LabVersionTarget | undefined {
-    if (isAll) return this.choose(this.fresh);
+  private chooseNewTarget(rollout: ServiceRollout, isAll: boolean): LabVersionTarget | undefined {
+    if (isAll) return this.chooseLessLoaded(this.newTargets);
     const inUse = getTargetsInUse(rollout);
-    const open = this.fresh.filter(({ id, running }) => inUse.has(id) && running < this.plan.slots);
+    const open = this.newTargets.filter(
+      ({ id, running }) => inUse.has(id) && running < this.plan.slots,
+    );
     const isFilling = rollout.guidance?.phase === 'trial' && this.random() < 0.5;
-    if (open.length > 0 && !isFilling) return this.choose(open);
+    if (open.length > 0 && !isFilling) return this.chooseLessLoaded(open);
     return open.sort((a, b) => b.running - a.running)[0];
   }
 
   /** @internal */
-  private choose(targets: readonly LabVersionTarget[]): LabVersionTarget {
+  private chooseLessLoaded(targets: readonly LabVersionTarget[]): LabVersionTarget {
     const { random } = this;
     const [a, b] = [0, 0].map(() => targets[Math.floor(random() * targets.length)]);
     return a.running <= b.running ? a : b;
@@ -239,13 +241,13 @@
   /** @internal */
   private isBadAnswer(route: string, target: LabVersionTarget, isNew: boolean): boolean {
     const { plan, random, clock } = this;
-    const { badness } = plan;
-    if (random() < plan.usualBad || (target.isIll && random() < 0.5)) return true;
-    if (!isNew || badness === undefined) return false;
-    const { from, portion, fromRunning = 0 } = badness;
-    const isMeant = badness.route === undefined || badness.route === route;
-    const isBegun = clock.now() >= from * plan.durationMs && target.running >= fromRunning;
-    return isMeant && isBegun && random() < portion;
+    const { versionFault } = plan;
+    if (random() < plan.baselineBadShare || (target.isFaulty && random() < 0.5)) return true;
+    if (!isNew || versionFault === undefined) return false;
+    const { from, portion, fromRunning = 0 } = versionFault;
+    const isRouteAffected = versionFault.route === undefined || versionFault.route === route;
+    const isActive = clock.now() >= from * plan.durationMs && target.running >= fromRunning;
+    return isRouteAffected && isActive && random() < portion;
   }
 
   /** @internal */
@@ -253,21 +255,21 @@
     const { clock, plan, random } = this;
     target.running += 1;
     const isBad = this.isBadAnswer(route, target, isNew);
-    const isSlow = isBad && plan.badness?.kind !== 'fails';
+    const isSlow = isBad && plan.versionFault?.kind !== 'fails';
     const workMs = plan.workMs * (0.7 + 0.6 * random());
     if (!isNew) this.oldRequests[vm] += 1;
-    const note = (): void => {
+    const recordResult = (): void => {
       this.vms[vm].evidence.recordAnswer(
         route,
-        isNew ? this.fresh.indexOf(target) : undefined,
+        isNew ? this.newTargets.indexOf(target) : undefined,
         isBad,
       );
       if (!isNew || !isBad) return;
       this.bad += 1;
-      if (this.bad === COUNTED_BAD) this.badAt = clock.now();
+      if (this.bad === BAD_ANSWER_THRESHOLD) this.badThresholdAt = clock.now();
     };
-    clock.after(isSlow ? workMs * LATE : workMs, note);
-    clock.after(isSlow ? workMs * SLOW : workMs, () => {
+    clock.after(isSlow ? workMs * BAD_LATENCY_FACTOR : workMs, recordResult);
+    clock.after(isSlow ? workMs * SLOW_FACTOR : workMs, () => {
       target.running -= 1;
       if (!isNew) this.oldRequests[vm] -= 1;
     });
@@ -275,11 +277,11 @@
 }
 
 /**
- * Plays one rollout in virtual time with the product's own decisions on it.
- * @param plan - What is rolled out where.
- * @param seed - Fixes all chance.
- * @param bound - What operators allow a bad version.
- * @param createTest - Makes the test that the version is judged by; the product's own if left out.
+ * Simulates one rollout in virtual time with the production rollout logic.
+ * @param plan - Fleet, load, duration and fault of the new version.
+ * @param seed - Seed of the random numbers.
+ * @param bound - Exposure bound of a bad version.
+ * @param createTest - Creates the statistical test of the version; the production default if left out.
  * @example
  * playRollout(ROLLOUT_PLANS.slow, 7, { share: 0.1, slack: 50 }).state; // 'rolledBack'
  */
--- a/src/lab/rolloutMain.ts
+++ b/src/lab/rolloutMain.ts
@@ -2,7 +2,7 @@
 import { playRollout } from './playRollout.js';
 import { ROLLOUT_PLANS } from './RolloutPlan.js';
 
-/** What operators allow a bad version in these plays. */
+/** Exposure bound of a bad version in all simulated rollouts. */
 const BOUND = { share: 0.1, slack: 50 };
 
 const TESTS = {
@@ -14,12 +14,12 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Plays each rollout with each way of judging, over the same seeds. */
+/** Runs each rollout plan with each statistical test, over the same seeds. */
 function main(): void {
   const at = process.argv.indexOf('--seeds');
   const seeds = at < 0 ? 20 : Number(process.argv[at + 1]);
   if (!Number.isInteger(seeds) || seeds < 1) {
-    process.stderr.write('--seeds takes a number from 1 on\n');
+    process.stderr.write('--seeds takes an integer of at least 1\n');
     process.exitCode = 2;
     return;
   }
--- a/src/soak/SoakWorld.ts
+++ b/src/soak/SoakWorld.ts
@@ -1,7 +1,7 @@
 import { join } from 'node:path';
 
 import type { RoutingTable, TargetRegistration } from '../balancing/index.js';
-import type { LimitNaming } from '../lab/index.js';
+import type { LimitChange } from '../lab/index.js';
 import {
   PlatformStore,
   PlatformTarget,
@@ -62,7 +62,7 @@
   readonly bans: Ban[] = [];
 
   /** Limits that targets advertised, in order of time. */
-  readonly namings: LimitNaming[] = [];
+  readonly namings: LimitChange[] = [];
 
   /** Version of newly started targets, unless another one is given. */
   version = 'v1';
--- a/src/soak/checkSoak.ts
+++ b/src/soak/checkSoak.ts
@@ -1,4 +1,4 @@
-import type { LimitNaming } from '../lab/index.js';
+import type { LimitChange } from '../lab/index.js';
 import { findWorstWindows } from '../lab/index.js';
 import type { CallerRecord } from './SoakCallers.js';
 
@@ -25,7 +25,7 @@
   readonly runs: readonly RunRecord[];
   readonly bans: readonly Ban[];
   /** Limits that targets advertised, in order of time. */
-  readonly namings?: readonly LimitNaming[];
+  readonly namings?: readonly LimitChange[];
   /** Periods in which the gateway on a port need not enforce limits. */
   readonly excused?: readonly {
     readonly port: number;
@@ -78,7 +78,12 @@
     return isTold ? [{ target, vm, at: endedAt }] : [];
   });
   const excuses = excused.map(({ port, from, until }) => ({ vm: String(port), from, until }));
-  return findWorstWindows({ arrivals, namings, told, excused: excuses })
+  return findWorstWindows({
+    arrivals,
+    limitChanges: namings,
+    forwardedLimits: told,
+    excused: excuses,
+  })
     .filter(({ got, allowed }) => got > allowed)
     .map(({ target, got, allowed }) => {
       const most = allowed.toFixed(1);
--- a/src/soak/runLimitTrial.ts
+++ b/src/soak/runLimitTrial.ts
@@ -74,11 +74,11 @@
   const endedAt = namedAt + forMs;
   const worst = findWorstWindows({
     arrivals: runs.map(({ target, at }) => ({ target, vm: ALL_VMS, at })),
-    namings: ids.flatMap((target) => [
+    limitChanges: ids.flatMap((target) => [
       { target, perSecond, at: namedAt },
       { target, perSecond: undefined, at: endedAt },
     ]),
-    told: ids.map((target) => ({ target, vm: ALL_VMS, at: namedAt })),
+    forwardedLimits: ids.map((target) => ({ target, vm: ALL_VMS, at: namedAt })),
   });
   const usedFrom = namedAt + ADJUSTMENT_MS;
   const used = runs.filter(({ at }) => at >= usedFrom && at < endedAt).length;
--- a/src/tests/balancing/ServiceCurve.test.ts
+++ b/src/tests/balancing/ServiceCurve.test.ts
@@ -138,7 +138,7 @@
     };
     const getSecondSurgeShare = (hasTrueCurve: boolean): number => {
       const all = [7, 14, 21, 28].flatMap(
-        (seed) => playLab({ ...twice, isTold: hasTrueCurve }, seed).records,
+        (seed) => playLab({ ...twice, isSlowdownPreset: hasTrueCurve }, seed).records,
       );
       const second = all.filter(({ askedAt }) => askedAt >= 14_000 && askedAt < 20_000);
       const inTime = second.filter(
--- a/src/tests/lab/playLab.test.ts
+++ b/src/tests/lab/playLab.test.ts
@@ -7,7 +7,7 @@
   surges: [{ fromMs: 2_000, untilMs: 4_000, factor: 1.6 }],
 });
 
-test('one seed gives the same run each time, another one another', (t) => {
+test('runs with the same seed are identical, and differ for another seed', (t) => {
   const { score } = playLab(SHORT, 3);
   t.deepEqual(playLab(SHORT, 3).score, score);
   t.notDeepEqual(playLab(SHORT, 4).score, score);
@@ -19,7 +19,7 @@
   t.true(Math.abs(score.inTime + score.late + score.unserved - 1) < 1e-9);
 });
 
-test('a calm deployment is served as by a scheduler that knows everything, but for a little', (t) => {
+test('payoff at low load is close to that of an omniscient scheduler', (t) => {
   const { score, ceiling, broken } = playLab(LAB_PLANS.calm, 1);
   t.true(score.payoff > ceiling.payoff - 0.05);
   t.deepEqual(broken, []);
--- a/src/tests/lab/playRollout.test.ts
+++ b/src/tests/lab/playRollout.test.ts
@@ -4,7 +4,7 @@
 
 const BOUND = { share: 0.1, slack: 50 };
 
-test('good versions are completed in time and lose nothing, also beside ill targets', (t) => {
+test('good versions complete in time without lost requests, even with faulty targets or killed coordinators', (t) => {
   for (const name of ['good', 'goodIll', 'goodKilled']) {
     const plan = ROLLOUT_PLANS[name];
     const { state, writtenAt, lost } = playRollout(plan, 3, BOUND);
@@ -14,8 +14,8 @@
   }
 });
 
-test('bad versions of each kind are taken back within what operators allow', (t) => {
-  // Some fail, some are slow; at once, later, only under load, on one route only.
+test('bad versions of each kind are rolled back within the exposure bound', (t) => {
+  // Versions that fail or are slow: from the start, later, only under load, or on one route only.
   for (const name of [
     'fails',
     'failsLater',
